--- a/src/reducer/admit.rs
+++ b/src/reducer/admit.rs
@@ -1,4 +1,5 @@
-//! A request's arrival: who sends it, where it may go, whether it is over its customer's allotment.
+//! Admission of an arriving request: its customer, its permitted places and its customer's
+//! allotment.
 
 use crate::{
     config::{Ask, Config, Refusal},
@@ -15,12 +16,12 @@
     wire::Phase,
 };
 
-/// Longest deadline a caller may ask for.
-const MAX_LEFT: Millis = Millis(600_000);
+/// Longest deadline that a caller may ask for.
+const MAX_DEADLINE: Millis = Millis(600_000);
 
-/// When to come back to a box that is not ready: most just start and read the store, which takes
-/// them some hundred milliseconds, and callers come back once.
-const READY_SOON: Millis = Millis(500);
+/// Time after which callers retry while this box is not ready. Most such boxes are just starting
+/// and read the store within some hundred milliseconds, and callers retry only once.
+const NOT_READY_RETRY_AFTER: Millis = Millis(500);
 
 pub(super) fn refusal(refusal: Refusal) -> Reply {
     let status = match refusal {
@@ -36,11 +37,12 @@
 }
 
 impl<P: Policy> State<P> {
-    pub(super) fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Effect>) {
+    pub(super) fn handle_arrival(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Effect>) {
         let request = arrival.request;
         let credential = arrival.credential.clone();
         let key = match (&arrival.key, &arrival.hop) {
-            // A relay is an attempt of the box that owns the key; its refusal speaks of no more.
+            // A relay is one attempt of the box that owns the key; refusing it says nothing about
+            // other sends of the key.
             (Key::Good(key), Hop::Direct | Hop::Pass) => Some(*key),
             _ => None,
         };
@@ -59,18 +61,21 @@
         arrival: Arrival,
         out: &mut Vec<Effect>,
     ) -> Result<(), Reply> {
-        let unready =
-            || Reply::new(503, Verdict::NotRun, "this box is not ready").after(READY_SOON);
+        let unready = || {
+            Reply::new(503, Verdict::NotRun, "this box is not ready").after(NOT_READY_RETRY_AFTER)
+        };
         let config = self.config.clone().ok_or_else(unready)?;
         if self.phase(now) == Phase::Unready {
             return Err(unready());
         }
         if self.phase(now) == Phase::Leaving && matches!(arrival.hop, Hop::Relay(_)) {
-            // It may outlast this box, and the other region can still send it elsewhere.
+            // The request may outlast this box, and the other region can still send it elsewhere.
             let reason = "this box is stopping";
             return Err(Reply::new(503, Verdict::NotRun, reason).after(SOON));
         }
-        let customer = self.sender(&config, &arrival).map_err(refusal)?;
+        let customer = self
+            .effective_customer(&config, &arrival)
+            .map_err(refusal)?;
         let ask = Ask {
             customer,
             host: arrival.host,
@@ -87,7 +92,7 @@
             Key::Good(key) => self.ledger.knows(&ask.customer, key),
             Key::Absent | Key::Bad(_) => false,
         };
-        // A re-send of a known key costs no new work.
+        // A repeated send of a known key causes no new work and is not charged.
         let mut booking = None;
         if arrival.hop == Hop::Direct && !known {
             let prompt = arrival.prompt.as_ref();
@@ -95,38 +100,48 @@
             self.budgets.earn(&plan.service, now);
             self.demand.note(&plan.route.name, now);
         }
-        let left = arrival.left.unwrap_or(plan.route.deadline).min(MAX_LEFT);
-        let left = plan.route.hold.map_or(left, |hold| left.min(hold));
+        let time_left = arrival
+            .left
+            .unwrap_or(plan.route.deadline)
+            .min(MAX_DEADLINE);
+        let time_left = plan
+            .route
+            .hold
+            .map_or(time_left, |hold| time_left.min(hold));
         let runs = plan.route.attempts.min(arrival.runs.unwrap_or(u32::MAX));
         let job = Job {
             prefix: arrival.prefix,
             prompt: arrival.prompt,
             runs,
-            target: plan.route.target.map(|t| self.remaining(&arrival.hop, t)),
-            deadline: now + left,
+            target: plan
+                .route
+                .target
+                .map(|t| self.remaining_target(&arrival.hop, t)),
+            deadline: now + time_left,
             hop: arrival.hop,
             booking,
             ..Job::new(&plan, ask, arrival.content, now)
         };
-        // A relay carries the decision of the box that owns the key, so it brings none itself.
+        // The box that owns the key has already decided on a relayed request, which carries no key.
         let keyed = !job.repeatable && plan.route.keyed;
         if keyed && !matches!(job.hop, Hop::Relay(_)) {
             return self.admit_key(now, arrival.request, job, &arrival.key, out);
         }
-        self.begin(now, arrival.request, job, out);
+        self.place_or_enqueue(now, arrival.request, job, out);
         Ok(())
     }
 
-    /// What of a target is left for a request that came by `hop`.
-    fn remaining(&self, hop: &Hop, target: Millis) -> Millis {
-        let way = match (hop, &self.config) {
+    /// Returns the part of `target` that remains after the transit of a request that arrived by
+    /// `hop`.
+    fn remaining_target(&self, hop: &Hop, target: Millis) -> Millis {
+        let transit = match (hop, &self.config) {
             (Hop::Relay(from), Some(config)) => config.hop(from, &self.table.me.region),
             _ => Millis(0),
         };
-        Millis(target.0.saturating_sub(way.0))
+        Millis(target.0.saturating_sub(transit.0))
     }
 
-    /// The customer that a credential proves.
+    /// Returns the customer that a credential authenticates.
     pub(super) fn customer(&self, credential: &Credential) -> Option<id::Customer> {
         match credential {
             Credential::Missing => None,
@@ -138,15 +153,19 @@
         }
     }
 
-    /// Whether `customer` stands for requests that came without an API key.
+    /// Reports whether `customer` stands for requests that came without an API key.
     pub(super) fn is_anonymous(&self, customer: &id::Customer) -> bool {
         let config = self.config.as_ref();
         config.is_some_and(|config| config.anonymous.as_ref() == Some(customer))
     }
 
-    /// The customer that a request counts as: the one that its credential proves or, on a route that
-    /// needs none, nobody in particular.
-    fn sender(&self, config: &Config, arrival: &Arrival) -> Result<id::Customer, Refusal> {
+    /// Returns the customer that a request is attributed to: the one that its credential
+    /// authenticates or, on a route that needs no credential, the anonymous customer.
+    fn effective_customer(
+        &self,
+        config: &Config,
+        arrival: &Arrival,
+    ) -> Result<id::Customer, Refusal> {
         if let Some(customer) = self.customer(&arrival.credential) {
             return Ok(customer);
         }
@@ -156,20 +175,20 @@
         anonymous.ok_or(Refusal::UnknownCustomer)
     }
 
-    pub(super) fn hold(&mut self, request: id::Request, job: Job) {
+    pub(super) fn insert_job(&mut self, request: id::Request, job: Job) {
         self.deadlines.insert((job.deadline, request));
         self.jobs.insert(request, job);
     }
 
-    pub(super) fn begin(
+    pub(super) fn place_or_enqueue(
         &mut self,
         now: Time,
         request: id::Request,
         job: Job,
         out: &mut Vec<Effect>,
     ) {
-        self.hold(request, job);
-        // Those who already wait go first.
+        self.insert_job(request, job);
+        // Requests that already wait are served first.
         let service = self.jobs[&request].service.clone();
         if self.waiting_for(&service) > 0 {
             self.drain(now, &service, out);
--- a/src/reducer/dispatch.rs
+++ b/src/reducer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Finds a place for a request, sends it there, or lets it wait in line.
+//! Chooses a place for a request and sends it there, or lets it wait in the queue.
 
 use crate::{
     id::{self, Service},
@@ -16,7 +16,7 @@
 };
 
 impl<P: Policy> State<P> {
-    /// Finds a place for a request; false where it has to wait.
+    /// Tries to place a request. Returns false if it has to wait.
     pub(super) fn place(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) -> bool {
         if self.phase(now) == Phase::Unready {
             return false;
@@ -50,12 +50,12 @@
                 self.send(now, request, place, basis, out);
             }
             Choice::Refuse(_) if job.moved => return false,
-            Choice::Refuse(_) if decision.candidates.is_empty() && job.awaits_direct(now) => {
+            Choice::Refuse(_) if decision.candidates.is_empty() && job.awaits_direct_send(now) => {
                 return false;
             }
             Choice::Refuse(wait) if self.is_limited(now, job) => {
                 let reason = "what backend servers say that they take is used up";
-                let reply = Reply::new(503, verdict, reason).after(job.next_turn(wait));
+                let reply = Reply::new(503, verdict, reason).after(job.retry_after_turn(wait));
                 let limited = true;
                 self.finish(request, Reply { limited, ..reply }, out);
             }
@@ -63,11 +63,11 @@
                 if decision.candidates.is_empty()
                     && let Some(wait) = self.pushback_left(now, job) =>
             {
-                if job.bears(wait, now) {
+                if job.can_wait(wait, now) {
                     return false;
                 }
                 let reason = "the backend servers asked for a pause";
-                let reply = Reply::new(503, verdict, reason).after(job.come_back_after(wait));
+                let reply = Reply::new(503, verdict, reason).after(job.retry_after_at_least(wait));
                 self.finish(request, reply, out);
             }
             Choice::Refuse(_) if decision.candidates.is_empty() && job.may_linger(now) => {
@@ -79,14 +79,14 @@
                 } else {
                     "no allowed place can begin the answer in time"
                 };
-                let reply = Reply::new(503, verdict, reason).after(job.come_back(wait));
+                let reply = Reply::new(503, verdict, reason).after(job.retry_after(wait));
                 self.finish(request, reply, out);
             }
         }
         true
     }
 
-    /// Sends a request to `place`, and counts it there.
+    /// Sends a request to `place` and counts the attempt there.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -96,7 +96,7 @@
         out: &mut Vec<Effect>,
     ) {
         let attempt = self.next_attempt();
-        let Some((target, door)) = self.target(&place) else {
+        let Some((target, relay_box)) = self.target(&place) else {
             let verdict = self
                 .jobs
                 .get(&request)
@@ -111,7 +111,7 @@
         let anonymous = self.is_anonymous(&job.ask.customer);
         let continues = job.origin();
         let movable = self.is_movable(job, &place);
-        // A run that goes on brings its memory with it.
+        // A continued run brings its memory along, so the engine computes and fetches nothing.
         let supply = self.supply(now, job, &place).unwrap_or_default();
         (basis.unread, basis.fetched) = (supply.read, supply.fetched);
         let supply = match continues {
@@ -135,7 +135,7 @@
         job.tried.push(place.clone());
         job.stage = Stage::Sent {
             attempt,
-            spot: Spot::Chosen(place, door),
+            spot: Spot::Chosen(place, relay_box),
             at: now,
             work,
             expected,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Counts an attempt at `place`; returns when its answer is expected to begin.
+    /// Counts an attempt at `place` and returns the expected time until its answer begins.
     fn count_send(&mut self, now: Time, service: &Service, place: &Place, work: u32) -> Millis {
         match place {
             Place::Backend(name) => {
@@ -190,7 +190,7 @@
             }
             Place::Region(region) => {
                 self.table.relayed(region);
-                self.remote_first(now, service, region)
+                self.remote_first_token(now, service, region)
             }
         }
     }
--- a/src/reducer/effect.rs
+++ b/src/reducer/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducer wants done.
+//! Outputs of the reducer.
 
 mod carry;
 mod note;
@@ -22,128 +22,131 @@
 pub use carry::{Carried, End, Move, Site};
 pub use note::{Alarm, Note, Step};
 
-/// Where an attempt goes.
+/// Target of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A backend server of this region.
     Backend {
-        /// Its name.
+        /// Name of the backend server.
         name: id::Backend,
-        /// Its listener.
+        /// Address of the backend server.
         address: SocketAddr,
-        /// The headers of its answers that speak of itself.
+        /// Names of the headers in which it reports its own state.
         headers: Arc<Headers>,
-        /// Its life, where it tells.
+        /// Incarnation, if the backend server reports one.
         incarnation: Option<Incarnation>,
     },
-    /// A box of another region, which must not send it on.
+    /// A box of another region, which must not relay the request again.
     Relay {
         /// The region.
         region: Region,
-        /// The box's listener.
+        /// Address of the box.
         peer: SocketAddr,
     },
-    /// The box that the key names.
+    /// The box that the idempotency key names.
     Pass {
-        /// The box's listener.
+        /// Address of the box.
         peer: SocketAddr,
     },
 }
 
-/// An order to try a request at one place.
+/// Instruction to send a request to one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
     /// The request.
     pub request: id::Request,
     /// This attempt.
     pub attempt: id::Attempt,
-    /// The place.
+    /// Where the request is sent.
     pub target: Target,
-    /// The customer, for another box or the backend server.
+    /// Customer, as reported to the other box or the backend server.
     pub customer: id::Customer,
-    /// Whether that is nobody's name: the request needed no API key, and came without one.
+    /// Whether the customer stands for anonymous callers: the request needed no API key and came
+    /// without one.
     pub anonymous: bool,
-    /// The route, for the log.
+    /// Name of the route, for the log.
     pub route: id::Service,
-    /// Whether the request may run twice; if not, it goes over a connection of its own.
+    /// Whether the request may run twice; if not, it is sent over a connection of its own.
     pub repeatable: bool,
-    /// Whether another place may continue its stream after a cut.
+    /// Whether another target may resume the stream after a cut.
     pub resumable: bool,
-    /// Whether another engine may continue its stream with the memory of its run.
+    /// Whether another engine may continue the stream with a copy of the run's memory.
     pub movable: bool,
-    /// Where its run goes on from, where it is not a new one.
+    /// Copy of the memory of an earlier run that this attempt continues; `None` for a new run.
     pub continues: Option<Origin>,
-    /// Its rank among the requests of a backend server.
+    /// Priority among the requests of a backend server; 0 is the most urgent.
     pub priority: u8,
-    /// Backend servers that may still run it, this attempt's included.
+    /// Number of backend servers that may still run the request, including this attempt.
     pub runs: u32,
-    /// Whether the answer is kept for re-sends of the key.
+    /// Whether the answer is stored for repeated sends of the idempotency key.
     pub record: bool,
-    /// An engine that the backend server takes parts of the prompt over from, before it reads the rest.
+    /// Engine from which the backend server fetches parts of the prompt before it computes the
+    /// rest.
     pub fetch: Option<SocketAddr>,
-    /// The moment after which the order is void.
+    /// Time after which the instruction must not be executed.
     pub not_after: Time,
-    /// What decided for the place.
+    /// Inputs of the placement decision.
     pub basis: Basis,
 }
 
-/// What a choice of a place rested on, for the log.
+/// Inputs of a placement decision, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Basis {
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub version: Version,
-    /// Which attempt of the request it is, from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
-    /// Places that could have taken it.
+    /// Number of candidate places.
     pub places: usize,
     /// Expected wait for a slot.
     pub wait: Millis,
     /// Expected time to the first byte once a slot is free.
     pub first: Millis,
-    /// Round trip to the place.
+    /// Round-trip time to the place.
     pub hop: Millis,
-    /// What the request costs those that run there.
+    /// Expected cost to the requests that already run there.
     pub burden: Millis,
-    /// Free slots there.
+    /// Free slots at the place.
     pub free: u32,
-    /// Age of what the other boxes told of their load.
+    /// Age of the oldest load report among the live boxes of the region.
     pub age: Millis,
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub waited: Millis,
-    /// Time within which its answer should begin, since it came; zero where nothing says so.
+    /// Time from arrival within which the answer should begin; zero if the route sets none.
     pub target: Millis,
-    /// Length of its prompt in tokens; zero where it tells of none.
+    /// Length of the prompt in tokens; zero if the request does not describe it.
     pub prompt: u32,
-    /// Tokens of it that others may share.
+    /// Prompt tokens that other requests may share.
     pub shared: u32,
-    /// Tokens of it that the place has to read.
+    /// Prompt tokens that the place has to compute.
     pub unread: u32,
-    /// Tokens of it that the place takes over from another engine.
+    /// Prompt tokens that the place fetches from another engine.
     pub fetched: u32,
-    /// Whether that is the place's own word, and no guess by what was sent there.
+    /// Whether the place reported its cache contents itself, rather than this box inferring them
+    /// from the prompts that were sent there.
     pub told: bool,
-    /// How long the place is still cold, as far as the box knows; zero where it is warm.
+    /// Time for which the place is still cold, as far as this box knows; zero if it is warm.
     pub cold: Millis,
-    /// What the place says that it takes from all boxes, where it says so.
+    /// Rate that the place accepts from all boxes together, if it names one.
     pub limit: Option<Rate>,
-    /// How far the box knows the platform's store; zero where it follows none.
+    /// Latest known revision of the platform's store; zero if no store is followed.
     pub revision: Revision,
-    /// Age of the store's last word; zero where there was none.
+    /// Age of the store's latest answer; zero if there was none.
     pub store_age: Millis,
 }
 
-/// What became of an attempt beyond the first that was asked for, for the log.
+/// Decision of the retry budget on an attempt beyond the first, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Repeat {
     /// The request.
     pub request: id::Request,
-    /// Its service.
+    /// Service of the request.
     pub service: Service,
-    /// What became of it.
+    /// Decision of the retry budget.
     pub outcome: retry::Outcome,
-    /// What the box's budget holds then.
+    /// State of this box's budget after the decision.
     pub balance: retry::Balance,
-    /// Boxes that share the slack; none where the box cannot know.
+    /// Number of boxes that share the slack; `None` if this box cannot know.
     pub boxes: Option<usize>,
 }
 
@@ -164,25 +167,25 @@
     }
 }
 
-/// A final answer of the gateway itself.
+/// A final answer that the gateway generates itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why, in a short sentence.
+    /// Reason, as a short sentence.
     pub reason: String,
-    /// When to come back.
+    /// Time after which the caller should retry.
     pub retry_after: Option<Millis>,
-    /// Whether a backend server could have taken it, but for the limit that it names.
+    /// Whether a backend server could have taken the request but for the limit that it names.
     pub limited: bool,
-    /// Whether a fresh key prefix goes with it.
+    /// Whether the reply carries a fresh key prefix.
     pub offer_key: bool,
 }
 
 impl Reply {
-    /// A reply without extras.
+    /// Creates a reply without optional parts.
     pub fn new(status: u16, verdict: Verdict, reason: impl fmt::Display) -> Self {
         Self {
             status,
@@ -194,7 +197,7 @@
         }
     }
 
-    /// The same, with a time to come back.
+    /// Sets the time after which the caller should retry.
     pub fn after(self, wait: Millis) -> Self {
         Self {
             retry_after: Some(wait),
@@ -203,41 +206,41 @@
     }
 }
 
-/// A box as "ask" names it.
+/// A box in the answer to `ask`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Who it is.
+    /// Name, location and addresses of the box.
     pub contact: Contact,
-    /// Its life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
-    /// Its clock.
+    /// Uptime of the box, by its own clock.
     pub uptime: Time,
-    /// Requests it has in hand, where known.
+    /// Requests in flight at the box, if known.
     pub busy: Option<u32>,
 }
 
-/// A look-up for which no box of the caller's region could be named.
+/// A look-up for which no box of the caller's region was available.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Detour {
     /// The caller's region.
     pub region: Region,
     /// The host that was looked up.
     pub host: Option<String>,
-    /// Whether the boxes of that region stopped by plan a short while ago.
+    /// Whether the boxes of that region made a planned stop recently.
     pub planned: bool,
-    /// Routes of the host that callers use, as far as the box knows.
+    /// Number of the host's routes that are in use, as far as this box knows.
     pub used: usize,
 }
 
-/// How a box follows the platform's store.
+/// Mode in which a box follows the platform's store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Follow {
-    /// For itself alone.
+    /// For itself only.
     #[default]
     Alone,
-    /// For the boxes of its failure domain.
+    /// As a hub, for the boxes of its failure domain.
     Hub,
-    /// Not at all: hubs pass the news on.
+    /// Not at all; hubs forward the changes.
     Rest,
 }
 
@@ -251,158 +254,161 @@
     }
 }
 
-/// Everything a box can be told to do.
+/// An output of the reducer: an action for the box to execute or an event to record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Try a request.
+    /// Send a request to a target.
     Send(Send),
-    /// A request waits for a slot; there is nothing to do.
+    /// Record that a request waits for a slot; no action is needed.
     Queued {
         /// The request.
         request: id::Request,
-        /// Requests of its service that wait at this box, itself included.
+        /// Requests of its service that wait at this box, including this one.
         waiting: usize,
     },
-    /// Follow the platform's store, where backend servers register, in this way from now on.
+    /// Switch to this mode of following the platform's store, where backend servers register.
     Follow(Follow),
-    /// Fetch from another box what it knows of registered backend servers.
+    /// Fetch another box's list of registered backend servers.
     FetchRoster {
-        /// The other box's listener.
+        /// Address of the other box.
         peer: SocketAddr,
-        /// How far this box knows them; none where it knows none.
+        /// Latest store revision known to this box; `None` if it knows no list.
         since: Option<Revision>,
     },
-    /// Ask a model engine which parts of prompts it has cached.
+    /// Query a model engine for the parts of prompts that it has cached.
     Inventory {
-        /// The engine.
+        /// The model engine.
         backend: id::Backend,
-        /// Its address.
+        /// Address of the engine.
         address: SocketAddr,
     },
-    /// Hear what a model engine keeps of prompts, from now on.
+    /// Start following the prompt cache of a model engine.
     FollowEngine {
-        /// The engine.
+        /// The model engine.
         backend: id::Backend,
-        /// Its address.
+        /// Address of the engine.
         address: SocketAddr,
-        /// Its life, where it tells.
+        /// Incarnation, if the engine reports one.
         incarnation: Option<Incarnation>,
     },
-    /// Hear that no longer.
+    /// Stop following the prompt cache of a model engine.
     UnfollowEngine(id::Backend),
-    /// Give an attempt up, so that it is cancelled at its place.
+    /// Abandon an attempt and cancel it at its target.
     Abort {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: id::Attempt,
     },
-    /// Let the stream of an attempt leave its place: it goes on elsewhere by the next order.
+    /// Detach the stream of an attempt from its target; the next `Send` for the request resumes it
+    /// elsewhere.
     Leave {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: id::Attempt,
     },
-    /// Move the memory of a run to another engine.
+    /// Copy the memory of a run to another engine.
     Move(Move),
-    /// Free a copy of a run's memory, at both engines.
+    /// Release the copy of a run's memory at both engines.
     Free(Origin),
-    /// End an answer whole whose connection closed while its run was to be stopped.
+    /// End an answer as complete after its connection closed while its run was being stopped.
     Close {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: id::Attempt,
     },
-    /// Write down what became of a run that was to move.
+    /// Record the result of moving a run.
     Carried(Carried),
-    /// Write down that an attempt beyond the first was asked for.
+    /// Record the decision on an attempt beyond the first.
     Repeat(Repeat),
-    /// Write down that the connection of an attempt to its backend server broke.
+    /// Record that the connection of an attempt to its backend server broke.
     Broken {
         /// The request.
         request: id::Request,
         /// The backend server.
         backend: id::Backend,
-        /// What was asked for.
+        /// Fingerprint of the requested content.
         content: Fingerprint,
-        /// How long ago it was sent.
+        /// Time since the request was sent.
         age: Millis,
-        /// How long ago its answer began, where it had.
+        /// Time since the answer began, if it had.
         begun: Option<Millis>,
     },
-    /// Find out whether anything listens at a backend server's port.
+    /// Probe whether anything listens at a backend server's port.
     Knock {
         /// The backend server.
         backend: id::Backend,
-        /// Its address.
+        /// Address of the backend server.
         address: SocketAddr,
     },
-    /// Keep in the platform's store that a content is held back, for boxes that start after all are gone.
+    /// Record in the platform's store that a content is held back, for boxes that start after all
+    /// others have stopped.
     Keep(Held),
-    /// Take that out of the store again.
+    /// Remove that record from the platform's store.
     Discard(Fingerprint),
-    /// Write down what changed of a content that may end backend servers.
+    /// Record a change in the evidence against a content that may crash backend servers.
     Quarantine(quarantine::Step),
-    /// Write to the platform's store how a roll-out stands, unless its end stands there.
+    /// Write the state of a roll-out to the platform's store, unless its final state is already
+    /// recorded.
     Settle {
         /// The service.
         service: Service,
-        /// The order that it answers.
+        /// The order that the state belongs to.
         order: Order,
-        /// How it stands.
+        /// State of the roll-out.
         standing: Standing,
     },
-    /// Write down what became of a roll-out.
+    /// Record a step of a roll-out.
     Rollout(Step),
-    /// Close the connections to this address that nobody uses.
+    /// Close the idle connections to this address.
     CloseIdle(SocketAddr),
-    /// Give a request its final answer.
+    /// Answer a request with a reply of the gateway.
     Reply {
         /// The request.
         request: id::Request,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Give a request the kept answer of another.
+    /// Answer a request with the stored answer of another one.
     Replay {
         /// The request.
         request: id::Request,
-        /// The one that ran.
+        /// The request that ran.
         answer: id::Request,
     },
-    /// Forget a kept answer.
+    /// Delete a stored answer.
     Forget(id::Request),
-    /// Answer a caller that asked for boxes.
+    /// Answer a caller that asked which boxes to use.
     Boxes {
-        /// The question.
+        /// The query or look-up.
         request: id::Request,
         /// The boxes, best first.
         boxes: Vec<Entry>,
-        /// What a caller was told of whose region no box could be named.
+        /// Details, if no box of the caller's region was available.
         detour: Option<Detour>,
     },
     /// Send a message to another box.
     Gossip {
-        /// Its nng listener.
+        /// nng address of the other box.
         to: SocketAddr,
         /// The message.
         frame: Frame,
     },
     /// Fetch a newer configuration from another box.
     Fetch {
-        /// The box's listener.
+        /// Address of the box.
         peer: SocketAddr,
-        /// The number that was told of.
+        /// Version that the box announced.
         version: Version,
     },
-    /// Begin or cease to watch the store.
+    /// Start (`true`) or stop (`false`) watching the store.
     Watch(bool),
-    /// A configuration is in force.
+    /// Record that the configuration with this version is in force.
     Adopted(Version),
-    /// Tell the operators.
+    /// Raise an alarm for the operators.
     Alarm(Alarm),
-    /// Write down what changed.
+    /// Record a change in this box's view of the system.
     Noted(Note),
 }
--- a/src/reducer/effect/carry.rs
+++ b/src/reducer/effect/carry.rs
@@ -1,56 +1,56 @@
-//! Runs that move from one engine to another.
+//! Moving a run from one engine to another.
 
 use std::{fmt, net::SocketAddr};
 
 use crate::{id, unit::Millis};
 
-/// An engine, and where it listens.
+/// An engine and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Site {
-    /// Its name.
+    /// Name of the engine.
     pub name: id::Backend,
-    /// Its listener.
+    /// Address of the engine.
     pub address: SocketAddr,
 }
 
-/// An order to copy the memory of a run to another engine.
+/// Instruction to copy the memory of a run to another engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The request.
     pub request: id::Request,
-    /// The attempt that brings its answer.
+    /// The attempt that produces the answer.
     pub attempt: id::Attempt,
-    /// The engine that runs it.
+    /// The engine that runs the request.
     pub from: Site,
-    /// The engine that gets the copy.
+    /// The engine that receives the copy.
     pub to: Site,
-    /// Whether the run stops first, to go on with the copy.
+    /// Whether the run is stopped first, so that it can continue from the copy.
     pub last: bool,
-    /// How much longer the engine runs.
+    /// Time until the engine that runs the request ends.
     pub left: Millis,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub tokens: u32,
 }
 
-/// How the move of a run ended.
+/// Result of moving a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The run goes on at the other engine.
+    /// The run continues at the other engine.
     There,
-    /// The run was stopped and goes on where it ran before.
+    /// The run was stopped and continues at its original engine.
     Back,
-    /// Nothing was moved: no room, no way, or no answer. The run was not stopped.
+    /// Nothing was moved, for lack of room, of a link or of an answer. The run was not stopped.
     Refused,
     /// The run ended by itself before it was stopped.
     Ended,
-    /// The request ended before: its caller left, or its time was over.
+    /// The request ended first: its caller disconnected or its deadline passed.
     Left,
-    /// The run was lost on the way, or whether it was stopped is not known.
+    /// The run was lost during the move, or it is unknown whether it was stopped.
     Lost,
 }
 
 impl End {
-    /// Its name in the log and in counters.
+    /// Returns the name used in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::There => "there",
@@ -63,22 +63,22 @@
     }
 }
 
-/// What became of a run that was to move.
+/// Outcome of an attempt to move a run, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Carried {
     /// The request.
     pub request: id::Request,
-    /// The engine that ran it.
+    /// The engine that ran the request.
     pub from: id::Backend,
-    /// The engine that was to go on.
+    /// The engine that was to continue the run.
     pub to: id::Backend,
-    /// How it ended.
+    /// Result of the move.
     pub end: End,
-    /// From the decision to the last word on it.
+    /// Time from the decision to move until the result was known.
     pub took: Millis,
-    /// Calls that were made.
+    /// Number of calls made.
     pub calls: u32,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub tokens: u32,
 }
 
--- a/src/reducer/effect/note.rs
+++ b/src/reducer/effect/note.rs
@@ -1,4 +1,4 @@
-//! What operators are told: alarms, what a box believes of the others, and the steps of roll-outs.
+//! Reports to operators: alarms, changes in a box's view of the system, and steps of roll-outs.
 
 use std::fmt;
 
@@ -11,16 +11,16 @@
     unit::{Millis, Rate},
 };
 
-/// Something an operator should know.
+/// A condition that an operator should know about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Alarm {
-    /// A configuration with a lower number than the one in force was offered.
+    /// A configuration older than the one in force was offered.
     Older(Version),
-    /// Two configurations have one number.
+    /// Two different configurations have the same version.
     Conflict(Version),
-    /// A configuration does not check; the old one stays.
+    /// A configuration failed validation; the previous one stays in force.
     Unreadable(Version),
-    /// The process stood still for this long.
+    /// The process did not run for this long.
     Frozen(Millis),
 }
 
@@ -35,79 +35,81 @@
     }
 }
 
-/// What a box believes of the others, where that changed.
+/// A change in a box's view of the system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A box of this region was heard.
+    /// A box of this region became reachable.
     Heard(id::BoxName),
-    /// A box of this region is silent for too long.
+    /// A box of this region has been silent for too long.
     Lost(id::BoxName),
-    /// Another region was heard.
+    /// Another region became reachable.
     Reached(Region),
-    /// Another region is silent for too long.
+    /// Another region has been silent for too long.
     Unreached(Region),
-    /// The streams of a backend server are silent for too long.
+    /// The streams of a backend server have been silent for too long.
     Failed(id::Backend),
-    /// A backend server that had failed brings something again.
+    /// A backend server that was considered failed sends data again.
     Regained(id::Backend),
-    /// A backend server started again under its name.
+    /// A backend server restarted under the same name.
     Reborn(id::Backend),
-    /// A backend server says that it takes no more than this a second from all boxes, or no longer says
-    /// so.
+    /// A backend server named a new limit on the requests per second from all boxes, or no longer
+    /// names one.
     Limited {
         /// The backend server.
         backend: id::Backend,
-        /// What it takes; none where it names nothing.
+        /// Accepted rate; `None` if the server names no limit.
         rate: Option<Rate>,
-        /// The box that told it; none where the server itself did.
+        /// Box that reported it; `None` if the server itself did.
         teller: Option<id::BoxName>,
     },
-    /// A backend server says that it is leaving.
+    /// A backend server announced that it is leaving.
     Departing {
         /// The backend server.
         backend: id::Backend,
-        /// The box that told it; none where the server itself did.
+        /// Box that reported it; `None` if the server itself did.
         teller: Option<id::BoxName>,
     },
-    /// What a backend server says of its limit cannot be read.
+    /// The limit that a backend server names cannot be parsed.
     Unreadable(id::Backend),
-    /// A backend server asks this box to send it nothing for so long; none where that cannot be read.
+    /// A backend server asked this box to send nothing for a while.
     PushedBack {
         /// The backend server.
         backend: id::Backend,
-        /// How long.
+        /// Length of the pause; `None` if the value cannot be parsed.
         span: Option<Millis>,
     },
-    /// The platform's store came back from a copy.
+    /// The platform's store was restored from a copy.
     Era(Era),
-    /// The platform's store told something by an older number than is known; it is dropped.
+    /// The platform's store reported a revision older than the known one, and it was dropped.
     OldNews {
-        /// The number.
+        /// Reported revision.
         revision: Revision,
-        /// What is known.
+        /// Known revision.
         known: Revision,
     },
-    /// The settings of this box give it another weight.
+    /// The settings of this box changed its weight.
     Resized {
-        /// What it told before.
+        /// Previous weight.
         old: Option<Weight>,
-        /// What it tells now.
+        /// New weight.
         weight: Option<Weight>,
     },
-    /// This box became full for its weight beside the others, or ceased to be.
+    /// This box became full, relative to its weight and to the other boxes, or stopped being full.
     Filled {
-        /// Whether it is full.
+        /// Whether the box is full.
         full: bool,
-        /// Requests in hand.
+        /// Requests in flight.
         busy: u32,
-        /// Its weight.
+        /// Weight of the box.
         weight: Option<Weight>,
-        /// How much more that is for its weight than the region's boxes have together.
+        /// Requests in flight per weight, as a multiple of the same ratio for the region as a
+        /// whole.
         crowding: f64,
     },
-    /// This box hears neither the store nor another box: servers count as cold until it does.
+    /// This box reaches neither the store nor any other box, and treats all servers as cold until
+    /// it does.
     Alone,
-    /// It hears one of them again.
+    /// This box reaches the store or another box again.
     Accompanied,
 }
 
@@ -119,7 +121,7 @@
             Self::Reached(region) => write!(f, "region={region} state=heard"),
             Self::Unreached(region) => write!(f, "region={region} state=silent"),
             Self::Resized { old, weight } => {
-                let (old, weight) = (told(*old), told(*weight));
+                let (old, weight) = (format_weight(*old), format_weight(*weight));
                 write!(f, "box=self weight={weight} before={old}")
             }
             Self::Filled {
@@ -129,7 +131,7 @@
                 crowding,
             } => {
                 let state = if *full { "full" } else { "eased" };
-                let weight = told(*weight);
+                let weight = format_weight(*weight);
                 write!(
                     f,
                     "box=self state={state} busy={busy} weight={weight} crowding={crowding:.1}"
@@ -148,11 +150,11 @@
                     Some(rate) => write!(f, "{rate}")?,
                     None => f.write_str("none")?,
                 }
-                write_teller(f, teller.as_ref())
+                write_source(f, teller.as_ref())
             }
             Self::Departing { backend, teller } => {
                 write!(f, "backend={backend} state=leaving")?;
-                write_teller(f, teller.as_ref())
+                write_source(f, teller.as_ref())
             }
             Self::Unreadable(name) => write!(f, "backend={name} limit=unreadable"),
             Self::PushedBack { backend, span } => match span {
@@ -169,42 +171,42 @@
     }
 }
 
-/// Who told what a backend server says of itself.
-fn write_teller(f: &mut fmt::Formatter<'_>, teller: Option<&id::BoxName>) -> fmt::Result {
+/// Writes where a statement of a backend server about itself came from.
+fn write_source(f: &mut fmt::Formatter<'_>, teller: Option<&id::BoxName>) -> fmt::Result {
     match teller {
         Some(teller) => write!(f, " told-by={teller}"),
         None => f.write_str(" told-by=itself"),
     }
 }
 
-/// What became of a roll-out, for the log.
+/// A step of a roll-out, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// It was ordered.
+    /// A roll-out was ordered.
     Ordered {
         /// The service.
         service: Service,
-        /// What was asked for.
+        /// The order.
         order: Order,
     },
-    /// The order was taken back.
+    /// The order was withdrawn.
     Withdrawn(Service),
-    /// Traffic moves to the new release.
+    /// Traffic shifts to the new release.
     Moved(Service),
-    /// This box wants its end written.
+    /// This box proposes a final state.
     Judged {
         /// The service.
         service: Service,
-        /// How it should end.
+        /// Proposed state.
         standing: Standing,
-        /// What decided.
+        /// Evidence for the proposal.
         finding: Finding,
     },
-    /// This is what the store holds.
+    /// The store recorded a state.
     Written {
         /// The service.
         service: Service,
-        /// How far it has come.
+        /// Recorded state.
         standing: Standing,
     },
 }
@@ -240,6 +242,6 @@
     }
 }
 
-fn told(weight: Option<Weight>) -> String {
+fn format_weight(weight: Option<Weight>) -> String {
     weight.map_or("-".to_owned(), |weight| weight.to_string())
 }
--- a/src/reducer/estimate.rs
+++ b/src/reducer/estimate.rs
@@ -1,4 +1,4 @@
-//! What reading a prompt takes at a place, and what it costs those that run there.
+//! Expected time to compute a prompt at a place, and the cost to the requests that run there.
 
 use crate::{
     config::Backend,
@@ -11,44 +11,46 @@
     wire::{Capacity, Short},
 };
 
-/// Weight of the time for which one running request waits while a prompt is read, against the time
-/// that the prompt's own request waits, where no pause is known to be too long.
-const HELD_UP: f64 = 0.1;
-/// What it counts to make running streams pause for too long that read as many prompt tokens as the
-/// request itself, as a wait of its own: as much as its own answer being late.
-const PAUSED: f64 = 1000.0;
-/// The part of the longest pause that is in time from which on a stream is in danger: reading is
-/// estimated, and takes turns with the tokens of what runs.
-const NEAR_PAUSE: f64 = 0.5;
-/// Prompt tokens of a running request of which this box knows nothing else: long ones are told.
-const SHORT_PROMPT: f64 = 1200.0;
-/// The harm to others weighs no more for prompts shorter than this.
-const LEAST_PROMPT: f64 = 1000.0;
-/// Weight of the time to read shared parts once more, besides the wait for it.
+/// Weight of the time for which a running request is delayed while a prompt is computed, relative
+/// to the waiting time of the prompt's own request, if no longest acceptable pause is known.
+const RUNNING_DELAY_WEIGHT: f64 = 0.1;
+/// Cost in milliseconds of delaying running streams, with as many prompt tokens as the request
+/// itself, beyond the longest acceptable pause: as much as a late answer to the request itself.
+const LATE_STREAM_COST: f64 = 1000.0;
+/// Part of the longest acceptable pause from which on a stream is at risk: the computing time is an
+/// estimate, and prompts take turns with the tokens of running requests.
+const AT_RISK_PAUSE_SHARE: f64 = 0.5;
+/// Assumed prompt tokens of a running request that this box knows nothing about; long prompts are
+/// reported by other boxes.
+const UNKNOWN_PROMPT_TOKENS: f64 = 1200.0;
+/// Prompt length, in tokens, below which the cost to others grows no further.
+const MIN_PROMPT_TOKENS: f64 = 1000.0;
+/// Weight of the time to compute shared parts again, in addition to the wait for it.
 const READ_AGAIN: f64 = 2.0;
-/// Weight of the time for which parts are fetched, besides the wait for it.
-const KEPT_TWICE: f64 = 6.0;
-/// Fewest shared tokens for which a prompt prefers the engine that all boxes choose for it.
-pub(super) const OWNED: u32 = 256;
-/// What it counts to read a part elsewhere than at its preferred engine: about the wait for one
-/// other long prompt.
-const MISPLACED: Millis = Millis(100);
+/// Weight of the time to fetch parts from another engine, in addition to the wait for it.
+const DUPLICATE_WEIGHT: f64 = 6.0;
+/// Fewest shared tokens for which a prompt prefers its owner, the engine that all boxes choose for
+/// it.
+pub(super) const MIN_OWNED_TOKENS: u32 = 256;
+/// Cost of computing a long part at another engine than its owner: about the wait for one other
+/// long prompt.
+const MISPLACEMENT_COST: Millis = Millis(100);
 
-/// What runs at an engine while a prompt is read there.
+/// Load of an engine while it computes a prompt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Batch {
-    /// Requests that run.
+    /// Number of running requests.
     pub(super) busy: u32,
-    /// Prompt tokens of those whose prompts are known.
+    /// Prompt tokens of the running requests whose prompts are known.
     pub(super) tokens: f64,
-    /// Time until the prompts that were sent there before are read, in ms.
+    /// Time in ms until the engine has computed the prompts that were sent to it before.
     pub(super) pending: f64,
-    /// The longest pause of a stream that is in time, where that is known.
+    /// Longest acceptable pause of a stream, if known.
     pub(super) gap: Option<Millis>,
 }
 
 impl Batch {
-    /// Those at `engine`, where `busy` requests run.
+    /// Returns the load of `engine` with `busy` running requests.
     pub(super) fn at(engine: &Server, busy: u32, gap: Option<Millis>, now: Time) -> Self {
         Self {
             busy,
@@ -58,26 +60,29 @@
         }
     }
 
-    /// The share of the running streams that a pause of `millis` makes late.
-    fn late(millis: f64, gap: Millis) -> f64 {
-        let near = gap.0 as f64 * NEAR_PAUSE;
-        ((millis - near) / near).clamp(0.0, 1.0)
+    /// Returns the share of running streams that a pause of `millis` makes late: none up to
+    /// [`AT_RISK_PAUSE_SHARE`] of `gap`, all from `gap` on.
+    fn late_share(millis: f64, gap: Millis) -> f64 {
+        let at_risk = gap.0 as f64 * AT_RISK_PAUSE_SHARE;
+        ((millis - at_risk) / at_risk).clamp(0.0, 1.0)
     }
 
-    /// What it costs them that a prompt of `tokens` is read there for `reading` ms.
+    /// Returns the cost to running requests of a prompt of `tokens` that takes `reading` ms to
+    /// compute.
     fn held_up(&self, tokens: u32, reading: f64) -> f64 {
         let busy = f64::from(self.busy);
         let Some(gap) = self.gap else {
-            return reading * busy * HELD_UP;
+            return reading * busy * RUNNING_DELAY_WEIGHT;
         };
-        let more = Self::late(self.pending + reading, gap) - Self::late(self.pending, gap);
-        let others = self.tokens + busy * SHORT_PROMPT;
-        more * PAUSED * others / f64::from(tokens).max(LEAST_PROMPT)
+        let more =
+            Self::late_share(self.pending + reading, gap) - Self::late_share(self.pending, gap);
+        let others = self.tokens + busy * UNKNOWN_PROMPT_TOKENS;
+        more * LATE_STREAM_COST * others / f64::from(tokens).max(MIN_PROMPT_TOKENS)
     }
 }
 
-/// What reading `unread` tokens of `prompt` costs others: what runs there gets its tokens later, and
-/// a shared part that is read once more is time the engine lost.
+/// Returns the cost to others of computing `unread` tokens of `prompt`: running requests get their
+/// tokens later, and the engine loses the time for shared parts that it computes again.
 pub(super) fn burden(prompt: &Prompt, unread: u32, engine: &Server, batch: Batch) -> Millis {
     let own = prompt.parts.last().map_or(0, |part| part.tokens);
     let again = engine.reading(unread.saturating_sub(own));
@@ -85,15 +90,20 @@
     Millis((again * READ_AGAIN + held_up) as u64)
 }
 
-/// What it costs others that parts of a prompt come from another engine: the links are busy for that long, and
-/// what is kept twice leaves no room for other parts.
-pub(super) fn moved(supply: &Supply) -> Millis {
-    Millis((supply.span.0 as f64 * KEPT_TWICE) as u64)
+/// Returns the cost to others of fetching parts of a prompt from another engine: the links are busy
+/// for that time, and duplicates take the space of other parts.
+pub(super) fn transfer_cost(supply: &Supply) -> Millis {
+    Millis((supply.span.0 as f64 * DUPLICATE_WEIGHT) as u64)
 }
 
-/// A small preference for the place that all boxes choose for a shared part without asking each
-/// other: after a restart of all of them the part is still held there.
-pub(super) fn misplaced(prompt: &Prompt, unread: u32, owner: bool, engine: &Server) -> Millis {
+/// Returns a small cost for engines other than the owner, which all boxes choose without
+/// coordination: after a restart of all boxes the owner still holds the part.
+pub(super) fn misplacement_cost(
+    prompt: &Prompt,
+    unread: u32,
+    owner: bool,
+    engine: &Server,
+) -> Millis {
     let longest = prompt.longest().map_or(0, |part| part.tokens);
     if owner {
         return Millis(0);
@@ -102,30 +112,38 @@
         return if unread < longest {
             Millis(0)
         } else {
-            MISPLACED
+            MISPLACEMENT_COST
         };
     }
-    // Nobody follows short parts; their owner likely keeps them.
+    // Short parts are not tracked, but their owner probably still holds them.
     match prompt.shared() {
-        shared if shared >= OWNED => Millis((engine.reading(shared) * READ_AGAIN) as u64),
+        shared if shared >= MIN_OWNED_TOKENS => {
+            Millis((engine.reading(shared) * READ_AGAIN) as u64)
+        }
         _ => Millis(0),
     }
 }
 
 impl<P: Policy> State<P> {
-    /// Tokens that fit into the memory of one engine of `service`.
+    /// Returns the number of tokens that fit into the memory of one engine of `service`.
     pub(super) fn memory(&self, service: &Service) -> Option<u64> {
         self.engine(service).map(|engine| engine.tokens)
     }
 
-    /// What the engines of `service` can do with their memory.
+    /// Returns the memory capabilities of the engines of `service`.
     pub(super) fn engine(&self, service: &Service) -> Option<Engine> {
         let profile = self.config.as_ref()?.profiles.get(service)?;
         profile.engine
     }
 
-    /// Expected time to the first token of a short prompt in `region`, the way there included.
-    pub(super) fn remote_first(&self, now: Time, service: &Service, region: &Region) -> Millis {
+    /// Returns the expected time to the first token of a short prompt in `region`, including the
+    /// round trip.
+    pub(super) fn remote_first_token(
+        &self,
+        now: Time,
+        service: &Service,
+        region: &Region,
+    ) -> Millis {
         let short = Short::of(service.as_str());
         let hop = self
             .config
@@ -137,9 +155,9 @@
         hop.unwrap_or_default() + capacity.map_or(Millis(0), |c| c.first)
     }
 
-    /// Expected time to the first token of a prompt at the best of the `usable` servers of another region,
-    /// the way there left out, and the burden on what runs there.
-    pub(super) fn remote_reading(
+    /// Returns the expected time to the first token at the best of the `usable` servers of another
+    /// region, without the round trip, and the cost to the requests that run there.
+    pub(super) fn remote_prompt_cost(
         &self,
         wish: &Wish<'_>,
         usable: &[&Backend],
@@ -160,7 +178,7 @@
             let unread = self.cache.unread(prompt, short, memory, now);
             let batch = Batch::at(engine, busy, plan.gap(), now);
             let supply = Supply::of(sources.as_ref(), b, unread, engine);
-            let burden = burden(prompt, supply.read, engine, batch) + moved(&supply);
+            let burden = burden(prompt, supply.read, engine, batch) + transfer_cost(&supply);
             let reading = engine.pending(now) + engine.reading(supply.read);
             (Millis(reading as u64) + supply.span, burden)
         };
--- a/src/reducer/event.rs
+++ b/src/reducer/event.rs
@@ -1,4 +1,4 @@
-//! What the reducer is told.
+//! Inputs of the reducer.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc};
 
@@ -21,313 +21,317 @@
     wire::{Frame, Short},
 };
 
-/// Who sends a request.
+/// Credential that a request was sent with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nobody said.
+    /// No credential was sent.
     Missing,
     /// The hash of an API key.
     Key(KeyHash),
-    /// A customer whose key another box has checked.
+    /// A customer whose API key another box has already checked.
     Vouched(id::Customer),
 }
 
-/// How a request came here.
+/// Path by which a request reached this box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Hop {
-    /// From its caller.
+    /// Directly from the caller.
     Direct,
-    /// From a box of another region that chose this region for it.
+    /// From a box of the given region, which selected this region for the request.
     Relay(Region),
-    /// From a box that was sent a key which names this one.
+    /// From a box that received an idempotency key naming this box.
     Pass,
 }
 
-/// The idempotency key as it was read.
+/// Result of parsing the idempotency key of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// There was none.
+    /// The request has no key.
     Absent,
-    /// It names no box.
+    /// The key names no box.
     Bad(pin::Error),
-    /// It names a box.
+    /// The key names a box.
     Good(pin::Key),
 }
 
-/// A request's head, with what the body had to tell.
+/// A request's head, with the values read from its body.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request.
     pub request: id::Request,
-    /// The caller's own name for it, for the log.
+    /// Request ID that the caller chose, for the log.
     pub tag: Option<String>,
-    /// Who sends it.
+    /// Credential of the sender.
     pub credential: Credential,
-    /// The host it names, where routes go by hosts.
+    /// Host that the request names; used where routes are selected by host.
     pub host: Option<String>,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// The model that the body names.
+    /// Model named in the body.
     pub model: Option<Service>,
-    /// A hash of the prompt's beginning.
+    /// Hash of the beginning of the prompt.
     pub prefix: u64,
-    /// What the caller tells of its prompt.
+    /// Description of the prompt given by the caller.
     pub prompt: Option<Prompt>,
-    /// What it asks for.
+    /// Digest of the requested content.
     pub content: Content,
-    /// A random number that chooses among the services of a shared route.
+    /// Random number that selects among the services of a shared route.
     pub draw: u64,
-    /// The most backend servers that may run it, where another box has used up some.
+    /// Maximum number of backend servers that may still run the request, if another box has already
+    /// used some of its runs.
     pub runs: Option<u32>,
-    /// Its key.
+    /// Idempotency key.
     pub key: Key,
-    /// Time left until the answer must have begun, where the caller says.
+    /// Time left until the answer must begin, if the caller sets a limit.
     pub left: Option<Millis>,
-    /// How it came here.
+    /// Path by which the request arrived.
     pub hop: Hop,
 }
 
-/// Why an attempt brought no answer.
+/// Reason why an attempt produced no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No connection.
+    /// No connection could be established.
     Unreachable,
-    /// The place refused it in a way that is trusted.
+    /// The target refused the request in a trusted form, such as the configured refusal header.
     Refused,
     /// The connection broke before the answer began.
     Broken,
-    /// The effect was carried out too late.
+    /// The effect was executed after its deadline.
     Late,
-    /// The box that was to take it for its region is stopping.
+    /// The box chosen to take the request for its region is stopping.
     Leaving,
-    /// The place stayed silent for too long.
+    /// The target sent nothing for too long.
     Silent,
-    /// The place has no slot for it.
+    /// The target has no free slot.
     Full,
-    /// The place ran it and answered with an error of its own.
+    /// The target ran the request and answered with an error of its own.
     Errored,
-    /// The place says that it is another backend server than the one meant.
+    /// The target reports that it is a different backend server than the intended one.
     Replaced,
 }
 
 impl Cause {
-    /// Whether the attempt may have come to a backend server: one that found no connection, or a box
-    /// that is stopping, takes nothing of the retry budget.
+    /// Reports whether the attempt may have reached a backend server. An attempt that found no
+    /// connection, or a stopping box, is not charged to the retry budget.
     pub fn may_have_arrived(self) -> bool {
         !matches!(self, Self::Unreachable | Self::Leaving)
     }
 }
 
-/// Where a configuration came from.
+/// Origin of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's store, as it stands.
+    /// The current state of the platform's store.
     Store,
-    /// What the store told of late: an older one than the one in force is no surprise.
+    /// A recent notification from the store, which may be older than the configuration in force
+    /// without raising an alarm.
     News,
     /// Another box.
     Peer,
 }
 
-/// How an answer came, for whoever asks later why it was late.
+/// Timing of an answer, for diagnosing late answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timing {
-    /// From the arrival of the request to the beginning of the answer.
+    /// Time from the arrival of the request to the beginning of the answer.
     pub first: Millis,
-    /// From the arrival of the request to the end of the answer.
+    /// Time from the arrival of the request to the end of the answer.
     pub whole: Millis,
-    /// The longest pause between two pieces of the answer.
+    /// Longest pause between two pieces of the answer.
     pub pause: Millis,
 }
 
-/// A backend server of which some stream brought something since the last word.
+/// Stream activity of a backend server since the previous report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sign {
     /// The backend server.
     pub backend: Short,
-    /// The longest pause of one of its streams that ended since.
+    /// Longest pause of any of its streams that ended since the previous report.
     pub pause: Millis,
 }
 
-/// Everything that can happen to a box.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Some time has passed.
+    /// The tick timer fired.
     Tick,
-    /// These backend servers' streams brought something.
+    /// Streams of these backend servers received data.
     Alive(Vec<Sign>),
-    /// A request came.
+    /// A request arrived.
     Arrived(Arrival),
     /// A caller asks which boxes to use.
     Asked {
-        /// The question.
+        /// The query.
         request: id::Request,
-        /// Who asks.
+        /// Credential of the caller.
         credential: Credential,
     },
-    /// The one who sent a request went away.
+    /// The sender of a request disconnected.
     Gone(id::Request),
-    /// A backend server answered, and said something of its limit or was known for one.
+    /// A backend server answered, and the answer named a limit or the server is known to have one.
     Limited {
         /// The backend server.
         backend: id::Backend,
-        /// What it said.
+        /// Limit named in the answer.
         word: limit::Word,
-        /// When the request was sent that it answered.
+        /// When the answered request was sent.
         sent: Time,
     },
-    /// A backend server said in an answer that it is leaving.
+    /// A backend server announced in an answer that it is leaving.
     Departing {
         /// The backend server.
         backend: id::Backend,
-        /// The life that the request was sent to, where it was known.
+        /// Incarnation that the request was sent to, if known.
         incarnation: Option<Incarnation>,
     },
-    /// A backend server turned a request away, and said how long it wants nothing from this box.
+    /// A backend server refused a request and named a time during which it accepts none from this
+    /// box.
     PushedBack {
         /// The backend server.
         backend: id::Backend,
-        /// The life that the request was sent to, where it was known.
+        /// Incarnation that the request was sent to, if known.
         incarnation: Option<Incarnation>,
-        /// What it said.
+        /// Pushback named in the answer.
         word: pushback::Word,
     },
-    /// An answer begins to reach the caller.
+    /// The first byte of an answer is being sent to the caller.
     Begun {
         /// The request.
         request: id::Request,
-        /// The attempt that brings it.
+        /// The attempt that produced the answer.
         attempt: id::Attempt,
     },
     /// An answer that had begun has ended.
     Ended {
         /// The request.
         request: id::Request,
-        /// The attempt that brought it.
+        /// The attempt that produced the answer.
         attempt: id::Attempt,
-        /// Whether it ended whole.
+        /// Whether the answer was complete.
         whole: bool,
-        /// How it came.
+        /// Timing of the answer.
         timing: Timing,
     },
-    /// A stream that had begun was cut, and may go on elsewhere.
+    /// A stream that had begun was cut and may be resumed elsewhere.
     Broke {
         /// The request.
         request: id::Request,
-        /// The attempt that brought it.
+        /// The attempt that produced the stream.
         attempt: id::Attempt,
     },
-    /// The connection of a stream closed while its run was to be stopped; that may be its end.
+    /// The connection of a stream closed while its run was being stopped; the run may have ended
+    /// normally.
     Closed {
         /// The request.
         request: id::Request,
-        /// The attempt that brought it.
+        /// The attempt that produced the stream.
         attempt: id::Attempt,
     },
-    /// An engine was asked to move a run.
+    /// A call to an engine to move a run has finished.
     Moved {
         /// The request.
         request: id::Request,
-        /// The attempt that brings its answer.
+        /// The attempt that produces the answer.
         attempt: id::Attempt,
-        /// The engine's listener.
+        /// Address of the engine.
         from: SocketAddr,
-        /// What came of it.
+        /// Result of the call.
         result: Moved,
     },
-    /// An attempt brought no answer.
+    /// An attempt produced no answer.
     Failed {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: id::Attempt,
-        /// Whether it may have run there.
+        /// Whether the request may have run there.
         verdict: Verdict,
-        /// Why.
+        /// Reason of the failure.
         cause: Cause,
     },
-    /// Another box sent a message.
+    /// A message from another box arrived.
     Heard(Frame),
-    /// A configuration was read.
+    /// A configuration was read and validated.
     Offered {
-        /// It, checked.
+        /// The configuration.
         config: Arc<Config>,
-        /// Where it came from.
+        /// Origin of the configuration.
         source: Source,
     },
-    /// A configuration was read that does not check.
+    /// A configuration with this version was read and failed validation.
     Unreadable(Version),
-    /// The platform's list names these addresses as leaving.
+    /// The platform's list marks these addresses as leaving.
     Listed(BTreeSet<SocketAddr>),
-    /// Another box told what it knows of the backend servers that register themselves.
+    /// Another box sent its list of the backend servers that register with the platform.
     Roster(fleet::Roster),
-    /// The platform's store told of the backend servers that register themselves.
+    /// The platform's store reported a change of the registered backend servers.
     Fleet {
-        /// What became known.
+        /// The change.
         change: fleet::Change,
-        /// The store's number of it.
+        /// Store revision of the change.
         revision: Revision,
     },
-    /// A model engine told which parts of prompts it has cached.
+    /// A model engine reported which parts of prompts it has cached.
     Cached {
-        /// The engine.
+        /// The model engine.
         backend: id::Backend,
-        /// The parts.
+        /// The cached parts.
         parts: Vec<Part>,
     },
-    /// A model engine told what it keeps of prompts, to this box that follows it.
+    /// A model engine that this box follows reported changes of its prompt cache.
     EngineNews {
-        /// The engine.
+        /// The model engine.
         backend: id::Backend,
-        /// The life that was followed.
+        /// Incarnation that was followed.
         incarnation: Option<Incarnation>,
-        /// What it told.
+        /// The reported changes.
         news: News,
     },
-    /// The platform's store answered, and all its changes up to this one are told.
+    /// The platform's store answered, and all its changes up to this revision have been delivered.
     Synced(Revision),
-    /// The platform's store told to which failure domains nothing new may go.
+    /// The platform's store reported the failure domains that accept no new work.
     Evacuated {
-        /// All of them.
+        /// All evacuated failure domains.
         domains: BTreeSet<Domain>,
-        /// The store's number of the change.
+        /// Store revision of the change.
         revision: Revision,
     },
-    /// The platform's store told which roll-outs there are.
+    /// The platform's store reported the current roll-outs.
     Rollouts {
-        /// All of them.
+        /// All roll-outs.
         rollouts: Rollouts,
-        /// The store's number of the change.
+        /// Store revision of the change.
         revision: Revision,
     },
-    /// A caller asks which boxes of its region to use.
+    /// A caller looks up the boxes of its region.
     Resolve {
-        /// The question.
+        /// The look-up.
         request: id::Request,
-        /// The region that it calls from.
+        /// Region of the caller.
         region: Region,
-        /// The host that it wants to send requests to, where it says so.
+        /// Host that the caller wants to send requests to, if given.
         host: Option<String>,
     },
-    /// A backend server was knocked at, after an attempt broke there.
+    /// A backend server's port was probed after an attempt broke there.
     Knocked {
         /// The backend server.
         backend: id::Backend,
-        /// Whether its port is closed, so that the process behind it has ended.
+        /// Whether the port is closed, which means that the process behind it has ended.
         closed: bool,
     },
-    /// The platform's store holds that a content is held back.
+    /// The platform's store records that a content is held back.
     Kept(Fingerprint),
-    /// An operator lets a content run again.
+    /// An operator released a content that was held back.
     Pardoned(Fingerprint),
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded {
-        /// Boxes to greet.
+        /// Boxes to contact at start.
         seeds: Vec<Seed>,
-        /// How many attempts beyond the first requests may have.
+        /// Limits of the retry budget.
         retry: retry::Limits,
     },
-    /// What the settings say that this box can carry; none where they don't.
+    /// Capacity of this box according to its settings; `None` if they don't name it.
     Sized(Option<Weight>),
     /// A planned stop begins.
     Stop,
--- a/src/reducer/job.rs
+++ b/src/reducer/job.rs
@@ -1,4 +1,4 @@
-//! One request in hand, and how far it has come.
+//! State of one request in flight.
 
 use crate::{
     config::{Ask, Plan},
@@ -11,106 +11,108 @@
     verdict::Verdict,
 };
 
-/// When to come back where nothing better is known.
+/// Default time after which a caller should retry.
 pub(super) const SOON: Millis = Millis(1000);
 
-/// A wait that differs between callers who are sent away together, by up to three tenths either way;
-/// `draw` is a random number of the request's own.
+/// Returns `wait` varied by up to 30 % in either direction, so that callers refused together don't
+/// retry together; `draw` is the request's own random number.
 pub(super) fn spread(wait: f64, draw: u64) -> Millis {
     let factor = 0.7 + 0.6 * (draw % 1024) as f64 / 1024.0;
     Millis((wait * factor) as u64)
 }
 
-/// Where an attempt is.
+/// Target of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Spot {
-    /// At a place that was chosen.
+    /// The place that the policy chose and, for another region, the box that takes the request
+    /// there.
     Chosen(Place, Option<id::BoxName>),
-    /// At the box that the key names.
+    /// The box that the idempotency key names.
     Pinned,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Waiting,
-    /// One attempt is in hand.
+    /// One attempt is in flight.
     Sent {
         attempt: id::Attempt,
         spot: Spot,
         at: Time,
-        /// Prompt tokens that the place was expected to read.
+        /// Prompt tokens that the place was expected to compute.
         work: u32,
-        /// When the answer was expected to begin, after the attempt went out.
+        /// Expected time from sending the attempt to the beginning of its answer.
         expected: Millis,
-        /// When its answer began.
+        /// When the answer began.
         begun: Option<Time>,
     },
-    /// It waits for another request with its key.
+    /// Waiting for the answer to another request with the same key.
     Joined(id::Request),
 }
 
-/// What a request took of its customer's allotment.
+/// Amount that a request was charged against its customer's allotment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Booking {
-    /// Its weight.
+    /// Charged units.
     pub(super) cost: f64,
-    /// When it was booked last.
+    /// Time of the latest charge.
     pub(super) at: Time,
-    /// Whether the booking stands for a run that was begun; a further one is booked again.
+    /// Whether the charge covers a run that has begun; a further run is charged again.
     pub(super) spent: bool,
 }
 
-/// One request in hand.
+/// A request in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) ask: Ask,
     pub(super) service: Service,
-    /// What it asks for, and for whom.
+    /// Fingerprint of the requested content and of its customer.
     pub(super) content: Fingerprint,
-    /// The line that it waits in, where it has to.
+    /// Queue in which the request waits if it has to.
     pub(super) line: Service,
     pub(super) prefix: u64,
     pub(super) prompt: Option<Prompt>,
     pub(super) hop: Hop,
     pub(super) repeatable: bool,
-    /// Whether its answer is a stream.
+    /// Whether the answer is streamed.
     pub(super) stream: bool,
-    /// Whether another place may continue its stream after a cut.
+    /// Whether another place may resume the stream after a cut.
     pub(super) resumable: bool,
     pub(super) owns_key: bool,
     pub(super) came: Time,
     pub(super) deadline: Time,
-    /// Whether it was taken off a backend server while its answer was under way.
+    /// Whether the request was taken off a backend server while its answer was in progress.
     pub(super) moved: bool,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(super) attempts: u32,
-    /// Backend servers that may still run it.
+    /// Number of backend servers that may still run the request.
     pub(super) runs: u32,
     pub(super) priority: u8,
-    /// Time within which the answer should begin.
+    /// Time from arrival within which the answer should begin.
     pub(super) target: Option<Millis>,
-    /// Whether the deadline is that of the whole answer, and not of its beginning alone.
+    /// Whether the deadline applies to the whole answer rather than to its beginning only.
     pub(super) bounded: bool,
     pub(super) tried: Vec<Place>,
     pub(super) may_have_run: bool,
-    /// What it weighs against its customer's allotment, where this box booked it.
+    /// Charge against the customer's allotment, if this box made it.
     pub(super) booking: Option<Booking>,
-    /// Its place in the line, once it was let in; it then stays until it is served or its time is
-    /// over.
+    /// Position in the queue, once the request was enqueued; it then waits until it is served or
+    /// its deadline passes.
     pub(super) position: Option<usize>,
     pub(super) stage: Stage,
-    /// How far its run has come on its way to another engine.
+    /// Progress of moving the run to another engine.
     pub(super) transfer: Option<Transfer>,
-    /// Engines that were asked to take it; each is asked once.
+    /// Engines that were asked to take the run; each is asked once.
     pub(super) refuges: Vec<id::Backend>,
-    /// Whether the answer of the attempt in hand was counted for or against its release.
+    /// Whether the answer of the current attempt was already counted for or against its release.
     pub(super) judged: bool,
 }
 
 impl Job {
-    /// A request of `plan` that comes straight from its caller at `now`, with all that its route says.
+    /// Creates a request that arrived directly from its caller at `now`, with the settings of its
+    /// route.
     pub(super) fn new(plan: &Plan<'_>, ask: Ask, content: Content, now: Time) -> Self {
         let route = plan.route;
         Self {
--- a/src/reducer/key.rs
+++ b/src/reducer/key.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated: their key decides where they run, and whether.
+//! Requests that may not be repeated: their idempotency key determines the box that handles them,
+//! and whether they run.
 
 use crate::{
     id,
@@ -15,14 +16,14 @@
     verdict::Verdict,
 };
 
-/// The status of a key that was used for another request.
-const MISMATCH: u16 = 422;
+/// HTTP status for a key that was used for another request.
+const MISMATCH_STATUS: u16 = 422;
 
 impl<P: Policy> State<P> {
-    /// Makes a refusal true for every send of its key, and not of this one alone.
+    /// Extends a refusal of one send to all sends of its key.
     ///
-    /// "Not run" is said only by the box that the key names, and rules the key out for good;
-    /// any other box cannot know what became of earlier sends.
+    /// Only the box that the key names may answer "not run", and it then rules the key out for
+    /// good. Any other box cannot know the outcome of earlier sends.
     pub(super) fn refuse_key(
         &mut self,
         now: Time,
@@ -31,11 +32,11 @@
         key: &pin::Key,
         reply: Reply,
     ) -> Reply {
-        if !reply.verdict.is_not_run() || reply.status == MISMATCH {
+        if !reply.verdict.is_not_run() || reply.status == MISMATCH_STATUS {
             return reply;
         }
         let customer = self.customer(credential);
-        let void = self.names_me(now, key)
+        let void = self.names_this_box(now, key)
             && customer.is_some_and(|customer| self.ledger.void(&customer, key, request));
         Reply {
             verdict: if void {
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Whether `key` lives and names this life of this box.
-    pub(super) fn names_me(&self, now: Time, key: &pin::Key) -> bool {
+    /// Reports whether `key` is valid at `now` and names this incarnation of this box.
+    pub(super) fn names_this_box(&self, now: Time, key: &pin::Key) -> bool {
         let pin = &key.pin;
         let me = pin.peer == self.table.me.peer && pin.incarnation == self.table.incarnation;
         me && pin.expiry > now && pin.expiry <= now + pin::LIFE
@@ -65,14 +66,14 @@
     ) -> Result<(), Reply> {
         let key = match key {
             Key::Good(key) => key,
-            Key::Absent => return Err(offer("this route needs an idempotency key")),
-            Key::Bad(error @ pin::Error::Malformed) => return Err(offer(error)),
+            Key::Absent => return Err(key_required("this route needs an idempotency key")),
+            Key::Bad(error @ pin::Error::Malformed) => return Err(key_required(error)),
             Key::Bad(error @ pin::Error::Foreign) => {
                 return Err(Reply::new(409, Verdict::MayHaveRun, error));
             }
         };
         if key.pin.peer != self.table.me.peer {
-            return self.pass(now, request, job, key, out);
+            return self.pass_to_named_box(now, request, job, key, out);
         }
         if key.pin.incarnation != self.table.incarnation {
             let reason = "the box that the key names has been replaced";
@@ -82,31 +83,35 @@
             return Err(Reply::new(409, Verdict::MayHaveRun, "the key has expired"));
         }
         if key.pin.expiry > now + pin::LIFE {
-            return Err(offer("the key's end lies too far ahead"));
+            return Err(key_required("the key's end lies too far ahead"));
         }
         match self.ledger.claim(&job.ask.customer, key, request) {
             Outcome::Fresh => {
                 job.owns_key = true;
-                self.begin(now, request, job, out);
+                self.place_or_enqueue(now, request, job, out);
             }
-            Outcome::Joined(owner) if job.hop == Hop::Direct && self.waits_passed(owner) => {
-                self.hand_over(owner, request);
+            Outcome::Joined(owner) if job.hop == Hop::Direct && self.is_waiting_pass(owner) => {
+                self.transfer_key(owner, request);
                 job.owns_key = true;
-                self.begin(now, request, job, out);
+                self.place_or_enqueue(now, request, job, out);
             }
             Outcome::Joined(owner) => {
                 job.stage = Stage::Joined(owner);
-                self.hold(request, job);
+                self.insert_job(request, job);
             }
             Outcome::Finished(answer) => out.push(Effect::Replay { request, answer }),
             Outcome::Unknown => {
                 let reason = "an earlier send of this key may have run";
                 return Err(Reply::new(409, Verdict::MayHaveRun, reason));
             }
-            Outcome::Void => return Err(offer("the key was refused as not run; use a fresh one")),
+            Outcome::Void => {
+                return Err(key_required(
+                    "the key was refused as not run; use a fresh one",
+                ));
+            }
             Outcome::Mismatch => {
                 let reason = "the key was used for another request";
-                return Err(Reply::new(MISMATCH, Verdict::NotRun, reason));
+                return Err(Reply::new(MISMATCH_STATUS, Verdict::NotRun, reason));
             }
             Outcome::Full => {
                 let reason = "this box remembers too many keys";
@@ -116,15 +121,15 @@
         Ok(())
     }
 
-    /// Whether `request` was passed here by another box and still waits for a place.
-    fn waits_passed(&self, request: id::Request) -> bool {
+    /// Reports whether `request` was passed on by another box and still waits for a place.
+    fn is_waiting_pass(&self, request: id::Request) -> bool {
         let job = self.jobs.get(&request);
         job.is_some_and(|job| job.hop == Hop::Pass && job.stage == Stage::Waiting)
     }
 
-    /// Gives the key of `owner`, which waits, to `request`: what comes straight from its caller may be
-    /// relayed to other regions, and what was passed here may not.
-    fn hand_over(&mut self, owner: id::Request, request: id::Request) {
+    /// Transfers the key of `owner`, which waits, to `request`. A request that arrived directly
+    /// from its caller may be relayed to other regions; one that was passed on by a box may not.
+    fn transfer_key(&mut self, owner: id::Request, request: id::Request) {
         let Some(job) = self.jobs.get_mut(&owner) else {
             return;
         };
@@ -137,8 +142,9 @@
         self.ledger.hand_over(owner, request);
     }
 
-    /// Hands a request to the box that its key names; only a caller's own request is passed.
-    pub(super) fn pass(
+    /// Sends a request to the box that its key names. Only requests that arrived directly from a
+    /// caller are passed on.
+    pub(super) fn pass_to_named_box(
         &mut self,
         now: Time,
         request: id::Request,
@@ -179,13 +185,13 @@
             not_after: job.deadline,
             basis: Basis::default(),
         }));
-        self.hold(request, job);
+        self.insert_job(request, job);
         self.book_run(now, request);
         Ok(())
     }
 }
 
-/// What is remembered of a key whose request got the gateway's own answer.
+/// Returns the ledger entry for a key whose request was answered by the gateway itself.
 pub(super) fn key_phase(verdict: Verdict) -> KeyPhase {
     match verdict {
         Verdict::NotRun => KeyPhase::Void,
@@ -193,7 +199,7 @@
     }
 }
 
-pub(super) fn offer(reason: impl std::fmt::Display) -> Reply {
+pub(super) fn key_required(reason: impl std::fmt::Display) -> Reply {
     Reply {
         offer_key: true,
         ..Reply::new(428, Verdict::NotRun, reason)
--- a/src/reducer/line.rs
+++ b/src/reducer/line.rs
@@ -1,7 +1,7 @@
-//! Requests that wait in line, and who goes first when a slot is free.
+//! Queueing of requests, and the order in which they are served when a slot becomes free.
 //!
-//! A request that can still begin in time goes before one that cannot any more: under overload
-//! most are then served in time and the rest late, instead of all late.
+//! A request whose answer can still begin in time goes before one that is already late: under
+//! overload most requests are then served in time and the others late, instead of all late.
 
 use crate::{
     id::{self, Service},
@@ -16,24 +16,24 @@
     unit::{Millis, Time},
 };
 
-/// Waiting requests without a place that are looked at in one go.
-const SCAN: usize = 8;
-/// The part of its time after which a request that is late already is given up while it waits: its
-/// caller can then still come again.
-const GIVE_UP: f64 = 0.4;
-/// How long a request of another region waits here: about the way back. Its own region may have room again, and it
-/// waits there among those that it is as old as.
-const RELAYED_WAIT: Millis = Millis(150);
-/// How long a request that was passed here, and has no place in this region, waits for a send of its
-/// key by the caller itself, which may go to another region: sends that set out together come within
-/// some 100 ms of each other on a busy machine.
-const DIRECT_WAIT: Millis = Millis(250);
-/// Bounds of the time after which the caller of a refused request should come back, where its
-/// route says how soon an answer should begin.
-const COME_BACK: (Millis, Millis) = (Millis(400), Millis(1500));
+/// Number of requests that cannot be placed after which a scan of one queue stops.
+const MAX_BLOCKED: usize = 8;
+/// Part of the time between arrival and deadline after which a late request is abandoned while it
+/// waits, so that its caller still has time to retry.
+const LATE_ABANDON_SHARE: f64 = 0.4;
+/// Longest wait of a request that was relayed from another region: about the time of the way back.
+/// Its own region may have free slots again, and queues it there among requests of the same age.
+const MAX_RELAYED_WAIT: Millis = Millis(150);
+/// Longest wait, for a request that another box passed on and that has no place in this region, for
+/// a direct send of the same key, which may be relayed to another region. Sends that start together
+/// arrive within some 100 ms of each other on a busy machine.
+const MAX_DIRECT_WAIT: Millis = Millis(250);
+/// Bounds of the retry delay for callers of refused requests. The upper bound applies only if the
+/// route sets a target for the beginning of answers.
+const RETRY_AFTER_BOUNDS: (Millis, Millis) = (Millis(400), Millis(1500));
 
 impl Job {
-    /// Where it stands in line.
+    /// Returns the request's position among the queues.
     pub(super) fn spot(&self) -> Spot {
         Spot {
             line: self.line.clone(),
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Whether its answer cannot begin in time any more.
+    /// Reports whether the answer can no longer begin in time.
     fn is_late(&self, now: Time) -> bool {
         self.target.is_some_and(|target| now >= self.came + target)
     }
 
-    /// How long it would wait for a place: a fresh request for one where it is in time, and one that
-    /// was let in to its end.
-    pub(super) fn patience(&self, now: Time) -> Millis {
+    /// Returns how long the request would wait for a place: up to its target if it is new, and up
+    /// to its deadline once it was enqueued or tried.
+    pub(super) fn max_wait(&self, now: Time) -> Millis {
         let left = self.deadline.since(now);
         let fresh = self.position.is_none() && self.attempts == 0;
         match self.target.filter(|_| fresh) {
@@ -59,68 +59,68 @@
         }
     }
 
-    /// Whether it may wait although no place can take it now: a refusal is still early enough for
-    /// its caller to come again in time.
+    /// Reports whether the request may wait although no place can take it now. In the first quarter
+    /// of its target a later refusal still leaves its caller time to retry.
     pub(super) fn may_linger(&self, now: Time) -> bool {
         let quarter = self.target.map(|target| Millis(target.0 / 4));
         quarter.is_some_and(|quarter| now < self.came + quarter)
     }
 
-    /// Whether a send of its key may still come here straight from the caller: this one was passed here
-    /// by another box, and has no place in this region.
-    pub(super) fn awaits_direct(&self, now: Time) -> bool {
-        self.hop == Hop::Pass && now < self.came + DIRECT_WAIT
+    /// Reports whether a direct send of the same key may still arrive for a request that another
+    /// box passed on and that has no place in this region.
+    pub(super) fn awaits_direct_send(&self, now: Time) -> bool {
+        self.hop == Hop::Pass && now < self.came + MAX_DIRECT_WAIT
     }
 
-    /// Whether it is sent back to the region that it came from.
-    fn is_returned(&self, now: Time) -> bool {
-        matches!(self.hop, Hop::Relay(_)) && now >= self.came + RELAYED_WAIT && !self.moved
+    /// Reports whether a relayed request is to be refused, which returns it to its own region.
+    fn is_relay_wait_over(&self, now: Time) -> bool {
+        matches!(self.hop, Hop::Relay(_)) && now >= self.came + MAX_RELAYED_WAIT && !self.moved
     }
 
-    /// When it is given up while it waits.
-    fn given_up_at(&self) -> Time {
+    /// Returns when a late request is abandoned while it waits.
+    fn abandon_at(&self) -> Time {
         let whole = self.deadline.since(self.came).0 as f64;
-        self.came + Millis((whole * GIVE_UP) as u64)
+        self.came + Millis((whole * LATE_ABANDON_SHARE) as u64)
     }
 
-    /// Whether its answer could still begin in time after `wait`.
-    pub(super) fn bears(&self, wait: Millis, now: Time) -> bool {
+    /// Reports whether the answer could still begin in time after `wait`.
+    pub(super) fn can_wait(&self, wait: Millis, now: Time) -> bool {
         let target = self.target.map(|target| self.came + target);
         now + wait < target.unwrap_or(self.deadline).min(self.deadline)
     }
 
-    /// When its caller should come back after a refusal, where nothing can take it for `wait`: not before, and
-    /// spread over half as long again.
-    pub(super) fn come_back_after(&self, wait: Millis) -> Millis {
-        let wait = wait.max(COME_BACK.0);
+    /// Returns the retry delay for a caller if no place accepts the request for `wait`: at least
+    /// that long, and spread over half as long again.
+    pub(super) fn retry_after_at_least(&self, wait: Millis) -> Millis {
+        let wait = wait.max(RETRY_AFTER_BOUNDS.0);
         Millis(wait.0 + wait.0 * (self.ask.draw % 1024) / 2048)
     }
 
-    /// When its caller should come back after a refusal, where it would have had its turn at a limited
+    /// Returns the retry delay for a caller whose request would have had its turn at a rate-limited
     /// backend server after `wait`.
-    pub(super) fn next_turn(&self, wait: Millis) -> Millis {
-        job::spread(wait.max(COME_BACK.0).0 as f64, self.ask.draw)
+    pub(super) fn retry_after_turn(&self, wait: Millis) -> Millis {
+        job::spread(wait.max(RETRY_AFTER_BOUNDS.0).0 as f64, self.ask.draw)
     }
 
-    /// When its caller should come back after a refusal, where it would wait for `wait`: callers
-    /// that were refused together come back spread.
-    pub(super) fn come_back(&self, wait: Millis) -> Millis {
+    /// Returns the retry delay for a caller whose request would have waited for `wait`. With a
+    /// target it is bounded, and spread so that callers refused together don't retry together.
+    pub(super) fn retry_after(&self, wait: Millis) -> Millis {
         if self.target.is_none() {
             return wait.max(SOON);
         }
-        let wait = wait.clamp(COME_BACK.0, COME_BACK.1);
+        let wait = wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1);
         job::spread(wait.0 as f64, self.ask.draw)
     }
 }
 
 impl<P: Policy> State<P> {
-    /// Lets a request wait, at the end of its customer's queue.
+    /// Adds a request to the end of its customer's queue.
     pub(super) fn enqueue(&mut self, request: id::Request, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
-        job.position = Some(SCAN);
-        let (spot, verdict, wait) = (job.spot(), job.verdict(), job.come_back(SOON));
+        job.position = Some(MAX_BLOCKED);
+        let (spot, verdict, wait) = (job.spot(), job.verdict(), job.retry_after(SOON));
         if !self.queue.push(&spot, request) {
             let reply = Reply::new(503, verdict, "too many requests wait").after(wait);
             return self.finish(request, reply, out);
@@ -129,12 +129,12 @@
         out.push(Effect::Queued { request, waiting });
     }
 
-    /// Requests that wait for `service`, late ones included.
+    /// Returns the number of requests that wait for `service`, including late ones.
     pub(super) fn waiting_for(&self, service: &Service) -> usize {
         self.queue.waiting(service) + self.late.waiting(service)
     }
 
-    /// Gives free slots of a service to those who wait.
+    /// Assigns free slots of a service to waiting requests.
     pub(super) fn drain(&mut self, now: Time, service: &Service, out: &mut Vec<Effect>) {
         for line in self.queue.lines(service) {
             self.drain_line(now, &line, out);
@@ -145,15 +145,15 @@
     }
 
     fn drain_line(&mut self, now: Time, line: &Rank, out: &mut Vec<Effect>) {
-        let mut stuck = Vec::new();
-        while stuck.len() < SCAN {
+        let mut blocked = Vec::new();
+        while blocked.len() < MAX_BLOCKED {
             let Some(request) = self.queue.pop(line) else {
                 break;
             };
             let Some(job) = self.jobs.get_mut(&request) else {
                 continue;
             };
-            if job.is_returned(now) {
+            if job.is_relay_wait_over(now) {
                 let reply = Reply::new(503, job.verdict(), "no slot was free in this region");
                 self.finish(request, reply, out);
                 continue;
@@ -163,26 +163,26 @@
                 self.late.push(&spot, request);
                 continue;
             }
-            job.position = Some(stuck.len());
+            job.position = Some(blocked.len());
             if !self.place(now, request, out) {
-                stuck.push(request);
+                blocked.push(request);
             }
         }
-        for request in stuck.into_iter().rev() {
+        for request in blocked.into_iter().rev() {
             if let Some(job) = self.jobs.get(&request) {
                 self.queue.put_back(&job.spot(), request);
             }
         }
     }
 
-    /// Serves late requests of a line once nobody in it can still be in time.
+    /// Serves late requests of a queue once no request in it can still be in time.
     fn drain_late(&mut self, now: Time, line: &Rank, out: &mut Vec<Effect>) {
         while let Some(request) = self.late.pop(line) {
             let Some(job) = self.jobs.get_mut(&request) else {
                 continue;
             };
-            if now >= job.given_up_at() && !job.moved {
-                let (verdict, wait) = (job.verdict(), job.come_back(SOON));
+            if now >= job.abandon_at() && !job.moved {
+                let (verdict, wait) = (job.verdict(), job.retry_after(SOON));
                 let reply = Reply::new(503, verdict, "no slot was free in time").after(wait);
                 self.finish(request, reply, out);
                 continue;
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -1,42 +1,42 @@
-//! The one reducer: `(state, event, now) -> effects`, with no I/O, clock or randomness of its own.
+//! The reducer: `(state, event, now) -> effects`, without I/O, clock or randomness of its own.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! |---|---|
-//! | [`event`] | what it is told |
-//! | [`effect`] | what it wants done |
-//! | `job` | one request in hand |
-//! | `admit`, `key` | its arrival, and its idempotency key |
-//! | `allot` | what a customer may still use of its allotment |
-//! | `place`, `estimate`, `dispatch` | the places that may run it now, and the way there or into the line |
-//! | `subset` | the few of thousands of backend servers that are looked at first |
-//! | `cold` | the rate of cold backend servers, and this box's share of it |
-//! | `limit` | what backend servers say that they take |
-//! | `departure` | backend servers that say that they leave |
-//! | `pushback` | backend servers that ask this box to stay away for a while |
-//! | `engine_news` | what engines tell of the parts of prompts that they keep |
-//! | `inventory` | what engines had cached before the boxes knew |
-//! | `line` | who waits, and who goes first |
-//! | `tally` | how the region uses its backend servers, told through hubs |
-//! | `supply` | engines that others take parts of a prompt over from |
-//! | `reading` | long prompts, and what the boxes tell each other of them |
-//! | `moving` | runs that go on at another engine when theirs leaves |
+//! | [`event`] | inputs of the reducer |
+//! | [`effect`] | outputs of the reducer |
+//! | `job` | state of one request in flight |
+//! | `admit`, `key` | arrival of a request, and its idempotency key |
+//! | `allot` | remaining part of a customer's allotment |
+//! | `place`, `estimate`, `dispatch` | candidate places, their cost, and dispatching or queueing |
+//! | `subset` | selection of a few among thousands of backend servers to consider first |
+//! | `cold` | rate limit of cold backend servers, and this box's share of it |
+//! | `limit` | rate limits that backend servers name |
+//! | `departure` | backend servers that announce that they are leaving |
+//! | `pushback` | backend servers that ask this box to send nothing for a while |
+//! | `engine_news` | changes of prompt caches, as reported by engines |
+//! | `inventory` | prompt caches of engines at the start of a box |
+//! | `line` | queueing and the order in which waiting requests are served |
+//! | `tally` | the region's use of its backend servers, aggregated by hubs |
+//! | `supply` | engines from which parts of a prompt can be fetched |
+//! | `reading` | long prompts, and how boxes inform each other of them |
+//! | `moving` | moving runs to another engine when theirs leaves |
 //! | `stall` | attempts that stay silent for too long |
-//! | `detect` | backend servers that failed without a word |
-//! | `suspect` | content that ends backend servers, and what the boxes tell each other of it |
-//! | `outcome` | what comes of an attempt, and the final answer |
-//! | `repeat` | whether the retry budget has an attempt beyond the first |
-//! | `ask`, `demand` | which boxes a caller should use, by the routes that callers use |
-//! | `naming` | how often a look-up names each box |
-//! | `room` | what this box can carry, and whether it is full |
-//! | `rollout`, `watch` | another release of a service's backend servers: who gets it, and how that ends |
-//! | [`order`] | whether an operator's order for a roll-out can be taken |
-//! | `judge` | what answers say of the release of their server |
-//! | `news` | who follows the platform's store, and how its news reaches the others |
-//! | `era` | a store that came back from a copy |
-//! | `roster` | backend servers that peers tell of while the store is away |
-//! | `heartbeat`, `digest` | what boxes of a region, and regions, tell each other |
-//! | `control` | ticks, messages, the configuration, freezes |
-//! | [`status`] | what operators see |
+//! | `detect` | backend servers that fail silently |
+//! | `suspect` | content that crashes backend servers, and how boxes inform each other of it |
+//! | `outcome` | results of attempts, and final answers |
+//! | `repeat` | retry budget for attempts beyond the first |
+//! | `ask`, `demand` | boxes that a caller should use, by the routes in use |
+//! | `naming` | how often a look-up returns each box |
+//! | `room` | capacity of this box, and whether it is full |
+//! | `rollout`, `watch` | roll-outs of a service's releases: traffic shares and final state |
+//! | [`order`] | validation of an operator's roll-out order |
+//! | `judge` | evidence for or against a release, from its answers |
+//! | `news` | which boxes follow the platform's store, and how changes reach the others |
+//! | `era` | a store that was restored from a copy |
+//! | `roster` | backend servers learned from peers while the store is unreachable |
+//! | `heartbeat`, `digest` | messages between the boxes of a region, and between regions |
+//! | `control` | ticks, messages, configuration, suspensions of the process |
+//! | [`status`] | state shown to operators |
 
 mod admit;
 mod allot;
@@ -109,37 +109,41 @@
 use event::Event;
 use job::Job;
 
-/// The time between two ticks.
+/// Interval between two ticks.
 pub const TICK: Millis = Millis(100);
-/// A silence of the reducer this long means that the process stood still.
+/// A longer gap between two events means that the process was suspended.
 pub const FREEZE: Millis = Millis(3000);
-/// How long a box that stood still takes no work, so that it hears the news first.
+/// Time after a suspension during which a box accepts no work, so that it first receives the
+/// updates that it missed.
 pub const WAKE_GRACE: Millis = Millis(1000);
-/// How long a new box waits for word from its peers before it trusts the store alone.
+/// Longest time after its start for which a box waits to hear from its peers. Until then its view
+/// of the region counts as incomplete and, unless backend servers register with the platform, it is
+/// not ready before it heard from a peer.
 pub const JOIN_GRACE: Millis = Millis(2000);
 
-/// What a box is told of itself.
+/// Identity and settings with which a box starts.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Who it is.
+    /// Name, location and addresses of the box.
     pub contact: Contact,
-    /// Its life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
-    /// Boxes to greet.
+    /// Boxes to contact at start.
     pub seeds: Vec<Seed>,
-    /// How many attempts beyond the first requests may have together.
+    /// Limits of the retry budget that all requests share.
     pub retry: retry::Limits,
-    /// Whether backend servers register with the platform; the box then waits for their list.
+    /// Whether backend servers register with the platform; if so, the box waits for their list.
     pub registry: bool,
-    /// How far the platform lets a customer's use go beyond its allotment.
+    /// How far the platform lets a customer's use exceed its allotment.
     pub tolerance: Tolerance,
-    /// How far a release may be exposed before it was shown to be good.
+    /// How much traffic a release may receive before it is proven good.
     pub exposure: Exposure,
-    /// Whether the whole system starts for the first time, so that no process ran on this box before.
+    /// Whether the whole system starts for the first time, so that no earlier process ran on this
+    /// box.
     pub first_start: bool,
 }
 
-/// All that a box decides by.
+/// State of a box.
 #[derive(Debug)]
 pub struct State<P> {
     policy: P,
@@ -154,7 +158,7 @@
     accounts: Accounts,
     splits: allot::Splits,
     queue: Queue,
-    /// Waiting requests that cannot begin in time any more.
+    /// Waiting requests whose answers can no longer begin in time.
     late: Queue,
     fleet: Fleet,
     changes: Changes,
@@ -166,15 +170,16 @@
     listed: BTreeSet<SocketAddr>,
     evacuated: BTreeSet<Domain>,
     rollouts: rollout::Rollouts,
-    /// Whether the backend servers are known.
+    /// Whether the list of backend servers is known.
     supplied: bool,
-    /// How far the platform's store is known, by its own word or by another box's.
+    /// Latest known revision of the platform's store, from the store itself or from another box.
     revision: Revision,
-    /// When the store's last word came; none before it, and where no store is followed.
+    /// When the store last answered; `None` before its first answer, and where no store is
+    /// followed.
     store_heard: Option<Time>,
     /// Whether backend servers register with the platform.
     registry: bool,
-    /// Engines that were looked at for whether this box is to ask what they have cached.
+    /// Engines already considered for a query of their cached parts by this box.
     asked: BTreeSet<id::Backend>,
     engine_news: engine_news::Desk,
     attempts: u64,
@@ -182,7 +187,7 @@
 }
 
 impl<P: Policy> State<P> {
-    /// A box that just started and knows nothing yet.
+    /// Creates the state of a box that just started.
     pub fn new(identity: Identity, policy: P) -> Self {
         Self {
             policy,
@@ -219,14 +224,14 @@
         }
     }
 
-    /// Takes one event at `now` and says what to do.
+    /// Processes one event at `now` and returns the effects.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut out = Vec::new();
         self.notice_freeze(now, &mut out);
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Alive(signs) => self.hear_signs(now, signs, &mut out),
-            Event::Arrived(arrival) => self.arrive(now, arrival, &mut out),
+            Event::Arrived(arrival) => self.handle_arrival(now, arrival, &mut out),
             Event::Asked {
                 request,
                 credential,
@@ -325,54 +330,55 @@
         out
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// The number of the configuration in force; zero without one.
+    /// Returns the version of the configuration in force, or zero without one.
     pub fn version(&self) -> Version {
         self.config.as_ref().map_or(Version(0), |c| c.version)
     }
 
-    /// Whether the box takes work at `now`.
+    /// Returns whether the box accepts work at `now`.
     pub fn phase(&self, now: Time) -> Phase {
-        // With a registry the store alone tells all that a box must know.
+        // With a registry the store provides everything that a box needs to become ready.
         let configured = self.config.is_some() && self.supplied;
         self.control.phase(configured, self.registry, now)
     }
 
-    /// Time between two heartbeats, and between two digests to one region.
+    /// Returns the heartbeat period, and the period of digests to one region.
     pub fn periods(&self) -> (Millis, Millis) {
         (self.table.heartbeat_period(), self.table.digest_period())
     }
 
-    /// The boxes of all regions that were heard of lately, this one included.
+    /// Returns the number of boxes of all regions that were heard from recently, including this
+    /// one.
     pub fn fleet_size(&self, now: Time) -> usize {
         self.table.boxes(now)
     }
 
-    /// How far the platform's store is known.
+    /// Returns the latest known revision of the platform's store.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Requests in hand.
+    /// Returns the number of requests in flight.
     pub fn busy(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether `request` is in hand.
+    /// Reports whether `request` is in flight.
     pub fn holds(&self, request: id::Request) -> bool {
         self.jobs.contains_key(&request)
     }
 
-    /// Requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.late.len()
     }
 
-    /// Keys remembered.
+    /// Returns the number of idempotency keys in the ledger.
     pub fn keys(&self) -> usize {
         self.ledger.len()
     }
--- a/src/reducer/place.rs
+++ b/src/reducer/place.rs
@@ -1,4 +1,4 @@
-//! The places that may run a request now, with what is expected there.
+//! Candidate places for a request, with the delay and cost expected at each.
 
 use std::net::SocketAddr;
 
@@ -22,13 +22,14 @@
     wire::Short,
 };
 
-/// Servers that are drawn for a request. The least busy of two gets no more than twice its part of the
-/// requests while word of its load is on the way.
-const DRAWN: usize = 2;
-/// What the others are put behind by, in the times after which a slot gets free at them.
-const HANDICAP: u64 = 2;
+/// Backend servers sampled for each request. With two, the less busy one gets at most twice its
+/// share of the requests while updates of its load are in transit.
+const SAMPLED: usize = 2;
+/// Penalty on the backend servers that were not sampled, as a multiple of the expected time between
+/// two slots that become free there.
+const UNSAMPLED_PENALTY: u64 = 2;
 
-/// What a place is looked for.
+/// The request to be placed, with its plan and configuration.
 #[derive(Clone, Copy)]
 pub(super) struct Wish<'a> {
     pub(super) now: Time,
@@ -38,26 +39,26 @@
     pub(super) home: &'a Region,
 }
 
-/// A policy's choice and what it chose from.
+/// The choice of a policy and the candidates that it was made from.
 pub(super) struct Decision {
     pub(super) choice: Choice,
     pub(super) candidates: Vec<Candidate>,
 }
 
-/// Why a backend server gets no new work.
+/// Reason why a backend server gets no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exclusion {
     Configured,
-    /// It said in an answer that it leaves.
+    /// It announced in an answer that it is leaving.
     Departing,
     Listed,
     Evacuated,
-    /// A roll-out keeps requests off its release.
+    /// A roll-out withholds requests from its release.
     Release,
     Barred(Bar),
 }
 
-/// A number that is drawn anew for each request and place.
+/// Returns a pseudo-random number that is fixed for each pair of request and place.
 pub(super) fn drawn(draw: u64, place: &Place) -> u64 {
     let name = match place {
         Place::Backend(name) => name.as_str(),
@@ -67,7 +68,7 @@
 }
 
 impl<P: Policy> State<P> {
-    /// What the choice of `place` among `candidates` rests on.
+    /// Returns the inputs of the decision for `place` among the candidates.
     pub(super) fn basis(&self, now: Time, job: &Job, place: &Place, among: &[Candidate]) -> Basis {
         let chosen = among.iter().find(|c| c.place == *place);
         let ages = self.table.live(now).map(|peer| now.since(peer.heard));
@@ -85,7 +86,7 @@
             target: job.target.unwrap_or_default(),
             prompt: job.prompt.as_ref().map_or(0, |prompt| prompt.tokens),
             shared: job.prompt.as_ref().map_or(0, Prompt::shared),
-            // What the place has to do is reckoned as the request is sent.
+            // Set when the request is sent.
             unread: 0,
             fetched: 0,
             told: match place {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Chooses a place for `job` by the configuration in force at this moment.
+    /// Chooses a place for `job` by the configuration in force.
     pub(super) fn decide(&self, now: Time, job: &Job) -> Result<Decision, Refusal> {
         let config = self.config.as_ref().ok_or(Refusal::NoRegion)?;
         let plan = config.plan(&job.ask)?;
@@ -127,7 +128,7 @@
         Ok(self.choose(&wish, all))
     }
 
-    /// The policy's choice among `servers` of this region and the other regions.
+    /// Lets the policy choose among `servers` of this region and the other regions.
     fn choose<'a>(
         &self,
         wish: &Wish<'_>,
@@ -136,24 +137,26 @@
         let mine = &self.table.me.region;
         let mut candidates = Vec::new();
         if wish.plan.permits(mine) {
-            self.assess(wish, servers, &mut candidates);
+            self.collect_candidates(wish, servers, &mut candidates);
         }
         if wish.job.hop == Hop::Direct {
             let remote = self.table.reachable(wish.now);
             let remote = remote.filter(|(region, _)| *region != mine && wish.plan.permits(region));
-            candidates.extend(remote.filter_map(|(region, told)| self.remote(wish, region, told)));
+            candidates.extend(
+                remote.filter_map(|(region, remote)| self.remote_candidate(wish, region, remote)),
+            );
         }
         let view = View {
             candidates: &candidates,
             weights: wish.config.weights,
-            left: wish.job.patience(wish.now),
+            left: wish.job.max_wait(wish.now),
         };
         let choice = self.policy.pick(&view);
         Decision { choice, candidates }
     }
 
-    /// What is expected at those of `servers` that may run a request now.
-    fn assess<'a>(
+    /// Collects candidates from those of `servers` that may run the request now.
+    fn collect_candidates<'a>(
         &self,
         wish: &Wish<'_>,
         servers: impl IntoIterator<Item = &'a Backend>,
@@ -182,15 +185,15 @@
         let affinity = |b: &&&Backend| {
             xxhash_rust::xxh3::xxh3_64_with_seed(b.name.as_str().as_bytes(), prefix)
         };
-        let warm = usable.iter().max_by_key(affinity).map(|b| b.name.clone());
-        // The other boxes of the region send to the same servers and have lines of their own.
+        let preferred = usable.iter().max_by_key(affinity).map(|b| b.name.clone());
+        // The other boxes of the region send to the same servers and have queues of their own.
         let boxes = self.table.ready(now).count() + 1;
         let ahead = match job.position {
             Some(position) => position,
             None => self.queue.ahead(&job.spot()),
         };
-        let line = ahead * boxes / usable.len().max(1);
-        // Shares of limits are this box's own, and so is the line for them.
+        let queued_ahead = ahead * boxes / usable.len().max(1);
+        // The shares of rate limits, and hence the requests that wait for them, are this box's own.
         let turns = ahead as f64 / usable.len().max(1) as f64;
         let fresh = Server::default();
         let memory = self.memory(&plan.service);
@@ -199,12 +202,12 @@
             let server = self.servers.get(&backend.name).unwrap_or(&fresh);
             let slots = server.slots(backend.slots, now);
             let busy = server.busy + self.table.busy(Short::of(backend.name.as_str()), now);
-            // What the others told is old: each box may always use its own share.
+            // The load reports of other boxes are old, so each box may always use its own share.
             let share = (slots / boxes as u32).max(1);
             let free = slots
                 .saturating_sub(busy)
                 .max(share.saturating_sub(server.busy));
-            let ahead = u64::from(busy.saturating_sub(slots)) + line as u64 + 1;
+            let ahead = u64::from(busy.saturating_sub(slots)) + queued_ahead as u64 + 1;
             let turn = server.limit.wait(turns, now).unwrap_or_default();
             let slot = match free {
                 0 => Millis(server.whole().0 * ahead / u64::from(slots)),
@@ -214,7 +217,7 @@
                 Millis(0) => (free, slot),
                 _ => (0, slot.max(turn)),
             };
-            let owner = warm.as_ref() == Some(&backend.name);
+            let owner = preferred.as_ref() == Some(&backend.name);
             let (first, burden) = match &job.prompt {
                 Some(prompt) => {
                     let short = Short::of(backend.name.as_str());
@@ -223,10 +226,10 @@
                     let first = server.first_token(supply.read, now) + supply.span;
                     let batch = Batch::at(server, busy, plan.gap(), now);
                     let burden = estimate::burden(prompt, supply.read, server, batch);
-                    let burden = burden + estimate::moved(&supply);
+                    let burden = burden + estimate::transfer_cost(&supply);
                     (
                         first,
-                        burden + estimate::misplaced(prompt, supply.read, owner, server),
+                        burden + estimate::misplacement_cost(prompt, supply.read, owner, server),
                     )
                 }
                 None => (server.first(), Millis(0)),
@@ -247,10 +250,15 @@
                 burden,
             });
         }
-        self.draw(now, job, warm.as_ref(), found);
+        self.penalize_unsampled(now, job, preferred.as_ref(), found);
     }
 
-    fn remote(&self, wish: &Wish<'_>, region: &Region, remote: &Remote) -> Option<Candidate> {
+    fn remote_candidate(
+        &self,
+        wish: &Wish<'_>,
+        region: &Region,
+        remote: &Remote,
+    ) -> Option<Candidate> {
         let Wish {
             now,
             config,
@@ -269,7 +277,7 @@
         let price = usable.iter().map(|b| b.price).reduce(f64::min)?;
         let short = Short::of(plan.service.as_str());
         let capacity = remote.digest.services.iter().find(|c| c.service == short)?;
-        let (first, burden) = self.remote_reading(wish, &usable, capacity);
+        let (first, burden) = self.remote_prompt_cost(wish, &usable, capacity);
         let hop = config.hop(&self.table.me.region, region);
         let free = remote.free(short, now);
         let (busy, slots) = (capacity.busy + remote.sent, capacity.slots.max(1));
@@ -295,24 +303,30 @@
         })
     }
 
-    /// Draws a few of the servers of `found` with free slots for this request, and gives the others a
-    /// handicap: the boxes of a region hear the same of the servers at the same moment, and would all
-    /// choose the one that was least busy then. The `owner` of the prompt's shared parts differs between prompts and
-    /// needs none.
-    fn draw(&self, now: Time, job: &Job, owner: Option<&id::Backend>, found: &mut [Candidate]) {
+    /// Samples a few of the backend servers in `found` with free slots for this request and
+    /// penalizes the others. The boxes of a region receive the same load reports at the same moment
+    /// and would otherwise all choose the server that was least busy then. The `owner` of the
+    /// prompt's shared parts differs between prompts and gets no penalty.
+    fn penalize_unsampled(
+        &self,
+        now: Time,
+        job: &Job,
+        owner: Option<&id::Backend>,
+        found: &mut [Candidate],
+    ) {
         let long = job.prompt.as_ref().and_then(Prompt::longest);
-        // Who reads long prompts is told at once, and what is cached decides where they go.
+        // Long prompts are reported to other boxes at once, and cached parts decide where they go.
         if !self.table.knows_usages(now) || long.is_some_and(|part| part.tokens >= cache::LONG) {
             return;
         }
         let shared = job.prompt.as_ref().map_or(0, Prompt::shared);
-        let owner = owner.filter(|_| shared >= estimate::OWNED);
+        let owner = owner.filter(|_| shared >= estimate::MIN_OWNED_TOKENS);
         let is_owner = |place: &Place| matches!(place, Place::Backend(name) if Some(name) == owner);
         let open = found.iter_mut().filter(|c| c.free > 0);
         let mut open: Vec<&mut Candidate> = open.filter(|c| !is_owner(&c.place)).collect();
         open.sort_by_key(|c| drawn(job.ask.draw, &c.place));
-        for candidate in open.into_iter().skip(DRAWN) {
-            candidate.risk = Millis(candidate.step.0 * HANDICAP);
+        for candidate in open.into_iter().skip(SAMPLED) {
+            candidate.risk = Millis(candidate.step.0 * UNSAMPLED_PENALTY);
         }
     }
 
@@ -322,12 +336,13 @@
             || self.is_listed(&backend.address)
     }
 
-    /// Whether the platform's list names `address` as leaving, here or at a live box nearby.
+    /// Reports whether the platform's list marks `address` as leaving, as seen by this box or by a
+    /// live box of its region.
     fn is_listed(&self, address: &SocketAddr) -> bool {
         self.listed.contains(address) || self.table.is_listed(address)
     }
 
-    /// Why `backend` gets no new work at `now`, where that is so.
+    /// Returns the reason why `backend` gets no new work at `now`, if there is one.
     pub(super) fn excluded(&self, now: Time, backend: &Backend) -> Option<Exclusion> {
         if backend.leaving {
             return Some(match self.fleet.is_departing(&backend.name) {
