--- a/src/reducer/ask.rs
+++ b/src/reducer/ask.rs
@@ -1,4 +1,4 @@
-//! Which boxes a caller should use.
+//! Selects the boxes that a caller should use.
 
 use std::collections::BTreeSet;
 
@@ -19,12 +19,13 @@
     wire::{Absence, Phase},
 };
 
-/// How long a box that started does not send callers away from their region: by then it has heard
-/// of every region that lives.
-const LEARNING: Millis = Millis(3000);
-/// How long a planned restart of a region's boxes may take: three times the grace of 8 s that the
-/// platform leaves a process. A region that stays away longer is gone, and its callers go elsewhere.
-const RESTART: Millis = Millis(24_000);
+/// Time after its start in which a box does not send callers to other regions: by its end it has
+/// heard of every live region.
+const REDIRECT_DELAY: Millis = Millis(3000);
+/// Longest duration of a planned restart of a region's boxes: three times the grace period of 8 s
+/// that the platform leaves a process. A region that stays away longer counts as gone, and its
+/// callers are sent elsewhere.
+const MAX_RESTART: Millis = Millis(24_000);
 
 impl<P: Policy> State<P> {
     pub(super) fn boxes(
@@ -57,11 +58,13 @@
         });
     }
 
-    /// Names the ready boxes of the caller's region. Where it has none, those of the regions where
-    /// most of the host's requests may run: a body should not go to a region where it may not.
+    /// Returns the ready boxes of the caller's region. If there are none, it returns those of the
+    /// regions where most of the host's requests may run, since a body should not reach a region
+    /// where it may not run.
     ///
-    /// While the boxes of the caller's region stop by plan, it names only regions where all of them
-    /// may run: the region is back soon, and its boxes serve those who know them meanwhile.
+    /// While the boxes of the caller's region are stopped by plan, only regions where all requests
+    /// may run are returned: the region will be back soon, and until then its boxes serve the
+    /// callers that already know them.
     pub(super) fn resolve(
         &mut self,
         now: Time,
@@ -71,26 +74,26 @@
         out: &mut Vec<Effect>,
     ) {
         let mut boxes = self.entries(now, Some(region));
-        let near = |e: &Entry| e.contact.region == *region;
-        let any_near = boxes.iter().any(near);
-        if any_near {
-            boxes.retain(near);
-            boxes = self.share_out(now, boxes);
-        } else if now < Time(0) + LEARNING {
-            // It may not have heard of the better ones yet; another box can say more.
+        let local = |e: &Entry| e.contact.region == *region;
+        let any_local = boxes.iter().any(local);
+        if any_local {
+            boxes.retain(local);
+            boxes = self.weight_entries(now, boxes);
+        } else if now < Time(0) + REDIRECT_DELAY {
+            // Better regions may still be unknown; another box can answer the caller.
             boxes.clear();
         } else {
-            if self.stops_by_plan(now, region) {
-                boxes.retain(|e| self.is_whole(now, host, &e.contact.region));
+            if self.is_planned_stop(now, region) {
+                boxes.retain(|e| self.permits_all_used(now, host, &e.contact.region));
             }
-            let fit = |e: &Entry| self.fitness(now, host, &e.contact.region);
-            let best = boxes.iter().map(fit).max();
-            boxes.retain(|e| Some(fit(e)) == best);
+            let permitted = |e: &Entry| self.permitted_use(now, host, &e.contact.region);
+            let best = boxes.iter().map(permitted).max();
+            boxes.retain(|e| Some(permitted(e)) == best);
         }
         out.push(Effect::Boxes {
             request,
             boxes,
-            detour: (!any_near).then(|| self.detour(now, region, host)),
+            detour: (!any_local).then(|| self.detour(now, region, host)),
         });
     }
 
@@ -100,62 +103,69 @@
         Detour {
             region: region.clone(),
             host: host.map(str::to_owned),
-            planned: self.stops_by_plan(now, region),
-            used: routes.filter(|r| self.demand.uses(r, now)).count(),
+            planned: self.is_planned_stop(now, region),
+            used: routes.filter(|r| self.demand.is_used(r, now)).count(),
         }
     }
 
-    /// How many requests of `host` that this box has seen may run in `region`, how many of its used routes,
-    /// and how many of all: the more the better.
-    fn fitness(&self, now: Time, host: Option<&str>, region: &id::Region) -> (u64, usize, usize) {
+    /// Returns how many requests of `host` seen by this box may run in `region`, how many of its
+    /// used routes, and how many of all its routes; higher is better.
+    fn permitted_use(
+        &self,
+        now: Time,
+        host: Option<&str>,
+        region: &id::Region,
+    ) -> (u64, usize, usize) {
         let config = self.config.as_ref();
         let routes = config.into_iter().flat_map(|c| c.permitted(host, region));
         routes.fold((0, 0, 0), |(seen, used, routes), route| {
-            let uses = usize::from(self.demand.uses(route, now));
+            let uses = usize::from(self.demand.is_used(route, now));
             (seen + self.demand.seen(route), used + uses, routes + 1)
         })
     }
 
-    /// Whether `region` may run the requests of all routes of `host` that callers use, or, where none is known to
-    /// be used, those of all its routes.
-    fn is_whole(&self, now: Time, host: Option<&str>, region: &id::Region) -> bool {
+    /// Reports whether `region` may run the requests of all used routes of `host` or, if none is
+    /// known to be used, of all its routes.
+    fn permits_all_used(&self, now: Time, host: Option<&str>, region: &id::Region) -> bool {
         let Some(config) = &self.config else {
             return false;
         };
-        let used = |route: &&Route| self.demand.uses(route, now);
+        let used = |route: &&Route| self.demand.is_used(route, now);
         let any = config.of_host(host).any(|route| used(&route));
         let mut relevant = config.of_host(host).filter(|route| !any || used(route));
         relevant.all(|route| route.permits(region))
     }
 
-    /// Whether the boxes of `region`, of which none takes work, stopped by plan a short while ago.
-    fn stops_by_plan(&self, now: Time, region: &id::Region) -> bool {
+    /// Reports whether the boxes of `region`, none of which accepts work, stopped by plan a short
+    /// while ago.
+    fn is_planned_stop(&self, now: Time, region: &id::Region) -> bool {
         if *region != self.table.me.region {
             let absent = self.absent_since(region);
-            return absent.is_some_and(|since| now.since(since) < RESTART);
+            return absent.is_some_and(|since| now.since(since) < MAX_RESTART);
         }
         let stopping =
-            |peer: &Peer| peer.last.phase == Phase::Leaving && now.since(peer.heard) < RESTART;
+            |peer: &Peer| peer.last.phase == Phase::Leaving && now.since(peer.heard) < MAX_RESTART;
         self.phase(now) == Phase::Leaving || self.table.peers().any(stopping)
     }
 
-    /// When the last box of another region said that it stops, where no box there has taken work since: to this
-    /// box, or to others before it started.
+    /// Returns when the last box of another region announced its stop, if no box there has accepted
+    /// work since. The announcement may have reached this box, or others before it started.
     fn absent_since(&self, region: &id::Region) -> Option<Time> {
-        let told = self.control.absences.get(region).copied();
+        let reported = self.control.absences.get(region).copied();
         let Some(remote) = self.table.region(region) else {
-            return told;
+            return reported;
         };
         if remote.digest.stopping {
             return Some(remote.heard);
         }
-        // Boxes that start again speak for their region before they take work.
+        // Starting boxes send digests for their region before they accept work.
         let back = !remote.digest.doors.is_empty();
-        told.filter(|since| !back || *since > remote.heard)
+        reported.filter(|since| !back || *since > remote.heard)
     }
 
-    /// Remembers that a region had stopped by plan, whose boxes that start again now speak for it.
-    pub(super) fn keep_absence(&mut self, region: &id::Region) {
+    /// Records the planned stop of a region before a digest of its restarted boxes replaces the
+    /// announcement.
+    pub(super) fn record_absence(&mut self, region: &id::Region) {
         let stopped = self.table.region(region).filter(|r| r.digest.stopping);
         if let Some(remote) = stopped {
             let since = remote.heard;
@@ -163,24 +173,25 @@
         }
     }
 
-    /// The other regions whose boxes stopped by plan a short while ago.
+    /// Returns the other regions whose boxes stopped by plan a short while ago.
     pub(super) fn absences(&self, now: Time) -> Vec<Absence> {
-        let heard = self.table.regions().map(|(region, _)| region);
-        let told = self.control.absences.keys();
-        let regions: BTreeSet<&id::Region> = heard.chain(told).collect();
+        let known = self.table.regions().map(|(region, _)| region);
+        let reported = self.control.absences.keys();
+        let regions: BTreeSet<&id::Region> = known.chain(reported).collect();
         let absence = |region: &id::Region| {
             let age = now.since(self.absent_since(region)?);
             let region = region.clone();
-            (age < RESTART).then_some(Absence { region, age })
+            (age < MAX_RESTART).then_some(Absence { region, age })
         };
         regions.into_iter().filter_map(absence).collect()
     }
 
-    /// Takes from another region which others stopped by plan: this box may have started after that.
-    pub(super) fn hear_absences(&mut self, now: Time, told: &[Absence]) {
+    /// Records planned stops reported by another region, which may date from before the start of
+    /// this box.
+    pub(super) fn receive_absences(&mut self, now: Time, reported: &[Absence]) {
         let absences = &mut self.control.absences;
-        absences.retain(|_, since| now.since(*since) < RESTART);
-        let recent = told.iter().filter(|absence| absence.age < RESTART);
+        absences.retain(|_, since| now.since(*since) < MAX_RESTART);
+        let recent = reported.iter().filter(|absence| absence.age < MAX_RESTART);
         for Absence { region, age } in recent {
             let since = absences.entry(region.clone()).or_default();
             *since = (*since).max(now - *age);
@@ -194,13 +205,13 @@
             uptime: now,
             busy: Some(self.jobs.len() as u32),
         });
-        let near = self.table.ready(now).map(|peer| Entry {
+        let local = self.table.ready(now).map(|peer| Entry {
             contact: peer.last.contact.clone(),
             incarnation: peer.incarnation,
             uptime: peer.uptime(now),
             busy: Some(peer.last.busy),
         });
-        let far = self.table.reachable(now).flat_map(|(_, remote)| {
+        let remote_doors = self.table.reachable(now).flat_map(|(_, remote)| {
             let age = now.since(remote.heard);
             remote.digest.doors.iter().map(move |door| Entry {
                 contact: door.contact.clone(),
@@ -209,7 +220,7 @@
                 busy: None,
             })
         });
-        let mut boxes: Vec<Entry> = me.into_iter().chain(near).chain(far).collect();
+        let mut boxes: Vec<Entry> = me.into_iter().chain(local).chain(remote_doors).collect();
         let mine = &self.table.me.region;
         let usual = self.table.usual_weight(now);
         boxes.sort_by_cached_key(|e| {
--- a/src/reducer/control.rs
+++ b/src/reducer/control.rs
@@ -1,5 +1,5 @@
-//! What happens as time passes and messages come: the configuration's way between boxes, freezes,
-//! backend servers that come and go, and the planned stop.
+//! Handles ticks and messages from other boxes: distribution of the configuration, detection of
+//! process freezes, changes of the registered backend servers, and the planned stop.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -18,84 +18,87 @@
         effect::{Alarm, Effect, Follow, Note},
         era::Evacuations,
         event::Source,
-        heartbeat::GREET_AGAIN,
-        news::Gathered,
-        roster::Behind,
+        heartbeat::GREETING_RETRY_INTERVAL,
+        news::PendingChanges,
+        roster::StoreLag,
     },
     unit::{Millis, Time},
     wire::{Body, Frame, Phase, Short},
 };
 
-/// Boxes of a region that watch the store.
-const WATCHERS: usize = 2;
-/// How long a fetch may take before another is tried.
-const FETCH_PATIENCE: Millis = Millis(1000);
+/// Boxes of a region that watch the store for configurations.
+const STORE_WATCHERS: usize = 2;
+/// Time after which a fetch of a configuration is considered failed and another one may start.
+const FETCH_TIMEOUT: Millis = Millis(1000);
 
-/// What the control part remembers.
+/// Timers, membership bookkeeping and store-following state of a box.
 #[derive(Debug, Default)]
 pub(super) struct Control {
     pub(super) seq: u64,
     last_step: Option<Time>,
-    woke: Option<Time>,
-    last_beat: Option<Time>,
-    /// The time until the next heartbeat, as the last one told it to the region.
-    pub(super) pace_told: Millis,
-    last_pulse: Option<Time>,
-    /// When this box last became full, or ceased to be.
-    pub(super) last_room: Option<Time>,
-    pub(super) last_denial: Option<Time>,
-    pub(super) last_roster: Option<Time>,
-    /// Engines that this box asked what they have cached.
-    pub(super) inventories: usize,
-    pub(super) behind: Option<Behind>,
-    /// The boxes that hear this one often.
+    resumed: Option<Time>,
+    last_heartbeat: Option<Time>,
+    /// The period until the next heartbeat that the last heartbeat announced to the region.
+    pub(super) announced_period: Millis,
+    last_monitor_heartbeat: Option<Time>,
+    /// When this box last became full or stopped being full.
+    pub(super) last_full_change: Option<Time>,
+    pub(super) last_refutation: Option<Time>,
+    pub(super) last_roster_fetch: Option<Time>,
+    /// Requests for a cache inventory that this box has sent to engines.
+    pub(super) inventory_requests: usize,
+    pub(super) store_lag: Option<StoreLag>,
+    /// Gossip addresses of the boxes to which this box sends heartbeats at the shortest period.
     pub(super) monitors: BTreeSet<SocketAddr>,
-    /// When addresses that others named were last greeted.
+    /// Gossip addresses learned from other boxes, and when each was last sent a greeting.
     pub(super) greeted: HashMap<SocketAddr, Time>,
     pub(super) last_tally: Option<Time>,
-    /// Whether this box had nothing to tell of backend servers last, and whether its region had.
+    /// Whether the last usage report of this box was empty, and whether the last sums of its region
+    /// were.
     pub(super) idle: bool,
     pub(super) idle_region: bool,
-    pub(super) last_word: Option<Time>,
-    /// Whether the region is to hear of servers that said that they leave.
+    pub(super) last_store_report: Option<Time>,
+    /// Whether announced departures of backend servers are still to be sent to the region.
     pub(super) departures_untold: bool,
-    /// The era of the store, as far as this box knows.
+    /// The latest era of the store that this box has seen.
     pub(super) era: Era,
-    /// When the store came back from a copy last.
+    /// When the store last came back from a backup copy.
     pub(super) restored: Option<Time>,
     pub(super) evacuations: Evacuations,
-    /// When the last box of other regions said that it stops by plan, as other boxes tell.
+    /// When the last box of each other region announced a planned stop, as reported by other boxes
+    /// or by an earlier digest of that region.
     pub(super) absences: HashMap<Region, Time>,
-    /// How the store is followed.
+    /// How this box currently follows the store.
     pub(super) follow: Follow,
-    /// What the store told since news was passed on.
-    pub(super) gathered: Gathered,
-    /// When the store itself told something last.
-    pub(super) store_told: Option<Time>,
-    /// When the store told something to a hub last, as far as the hub said so.
-    pub(super) word_heard: Option<Time>,
+    /// Changes from the store that have not been forwarded yet.
+    pub(super) pending_changes: PendingChanges,
+    /// When this box last received an answer from the store itself.
+    pub(super) store_answered: Option<Time>,
+    /// When a hub last heard from the store, as reported by that hub.
+    pub(super) hub_heard_store: Option<Time>,
     last_digest: Option<Time>,
     pub(super) digests: u64,
-    heard: bool,
+    heard_peer: bool,
     leaving: bool,
     pub(super) watching: bool,
     fetching: Option<(Version, Time)>,
     unreadable: Option<Version>,
-    told: Option<Alarm>,
-    /// Whether the box heard nobody when it last looked.
-    alone: bool,
-    /// The boxes and regions that were live when they were last looked at.
+    last_alarm: Option<Alarm>,
+    /// Whether the last check found that this box hears no other box.
+    isolated: bool,
+    /// The boxes and regions that were live at the last check.
     live: (BTreeSet<BoxName>, BTreeSet<Region>),
 }
 
 impl Control {
-    /// Whether the box takes work; `alone` says that it need not wait for word from its peers.
-    pub(super) fn phase(&self, configured: bool, alone: bool, now: Time) -> Phase {
+    /// Returns whether the box accepts work. With `skip_join` it does not wait to hear from its
+    /// peers first.
+    pub(super) fn phase(&self, configured: bool, skip_join: bool, now: Time) -> Phase {
         if self.leaving {
             return Phase::Leaving;
         }
         let awake = self.is_awake(now);
-        let joined = alone || self.heard || now.0 >= JOIN_GRACE.0;
+        let joined = skip_join || self.heard_peer || now.0 >= JOIN_GRACE.0;
         if configured && awake && joined {
             Phase::Ready
         } else {
@@ -103,14 +106,16 @@
         }
     }
 
-    /// Whether the box has heard the news since it last stood still.
+    /// Reports whether enough time has passed since the last freeze of the process for current
+    /// messages to have arrived.
     pub(super) fn is_awake(&self, now: Time) -> bool {
         self.is_awake_for(WAKE_GRACE, now)
     }
 
-    /// Whether the box has not stood still within `span`.
+    /// Reports whether the process has not been frozen within the last `span`.
     pub(super) fn is_awake_for(&self, span: Millis, now: Time) -> bool {
-        self.woke.is_none_or(|woke| now.since(woke) >= span)
+        self.resumed
+            .is_none_or(|resumed| now.since(resumed) >= span)
     }
 
     pub(super) fn due(last: &mut Option<Time>, span: Millis, now: Time) -> bool {
@@ -124,14 +129,14 @@
 
 impl<P: Policy> State<P> {
     pub(super) fn notice_freeze(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let gap = self
+        let pause = self
             .control
             .last_step
             .map_or(Millis(0), |last| now.since(last));
         self.control.last_step = Some(now);
-        if gap > FREEZE {
-            self.control.woke = Some(now);
-            out.push(Effect::Alarm(Alarm::Frozen(gap)));
+        if pause > FREEZE {
+            self.control.resumed = Some(now);
+            out.push(Effect::Alarm(Alarm::Frozen(pause)));
         }
     }
 
@@ -140,76 +145,80 @@
         self.expire_evacuations(now, out);
         self.take_copied_rollouts(now, out);
         if self.fleet.sweep(now) {
-            self.forget_servers();
+            self.forget_removed_servers();
         }
         let forgotten = self.ledger.expire(now).into_iter().map(Effect::Forget);
         out.extend(forgotten);
-        self.watch_room(now, out);
-        // Those that were told a shorter time while this box knew fewer others wait for it that long.
-        let period = self.table.heartbeat_period().min(self.control.pace_told);
-        if Control::due(&mut self.control.last_beat, period, now) {
+        self.update_full(now, out);
+        // Boxes that were last announced a shorter period, when this box knew fewer others, still
+        // expect the next heartbeat within it.
+        let period = self
+            .table
+            .heartbeat_period()
+            .min(self.control.announced_period);
+        if Control::due(&mut self.control.last_heartbeat, period, now) {
             self.table.sweep(now);
             let greeted = &mut self.control.greeted;
-            greeted.retain(|_, at| now.since(*at) < GREET_AGAIN);
+            greeted.retain(|_, at| now.since(*at) < GREETING_RETRY_INTERVAL);
             self.table.count_boxes(now);
             self.budgets.share(self.sharers());
             self.accounts.sweep(now);
             self.quarantine.sweep(now);
-            self.elect(now, out);
-            self.note_others(now, out);
-            self.beat(now, out);
-            self.chase(now, out);
+            self.update_store_watch(now, out);
+            self.report_membership(now, out);
+            self.broadcast_heartbeat(now, out);
+            self.fetch_newer_config(now, out);
         }
-        if Control::due(&mut self.control.last_pulse, HEARTBEAT, now) {
-            self.pulse(now, out);
+        if Control::due(&mut self.control.last_monitor_heartbeat, HEARTBEAT, now) {
+            self.heartbeat_monitors(now, out);
         }
         let period = self.table.digest_period();
         if Control::due(&mut self.control.last_digest, period, now) {
-            self.report(now, out);
+            self.send_digests(now, out);
         }
-        self.choose_follow(now, out);
+        self.update_follow_mode(now, out);
         self.split_allotments(now);
-        self.tell_usages(now, out);
+        self.report_usage(now, out);
         self.watch_rollouts(now, out);
         self.tell_cleared(now, out);
         self.split_limits(now);
         self.tell_limits(now, out);
         self.tell_departures(now, out);
-        self.note_alone(now, out);
-        self.chase_roster(now, out);
-        self.ask_caches(now, out);
-        self.follow_engines(now, out);
-        self.call_again(now, out);
+        self.report_isolation(now, out);
+        self.fetch_missing_roster(now, out);
+        self.request_inventories(now, out);
+        self.update_followed_engines(now, out);
+        self.retry_calls(now, out);
         self.move_runs(now, out);
         self.detect_failed(now, out);
         self.move_stalled(now, out);
         self.drain_all(now, out);
     }
 
-    /// Tells which boxes and regions came or went since the last look.
-    fn note_others(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Reports the boxes and regions that became live or silent since the last check.
+    fn report_membership(&mut self, now: Time, out: &mut Vec<Effect>) {
         let boxes = self.table.live(now).map(|p| p.last.contact.name.clone());
         let regions = self.table.reachable(now).map(|(name, _)| name.clone());
         let live = (boxes.collect(), regions.collect());
         let (boxes, regions) = std::mem::replace(&mut self.control.live, live);
         let (new_boxes, new_regions) = &self.control.live;
-        let heard = new_boxes.difference(&boxes).cloned().map(Note::Heard);
+        let joined = new_boxes.difference(&boxes).cloned().map(Note::Heard);
         let lost = boxes.difference(new_boxes).cloned().map(Note::Lost);
         let reached = new_regions.difference(&regions).cloned().map(Note::Reached);
         let unreached = regions
             .difference(new_regions)
             .cloned()
             .map(Note::Unreached);
-        let notes = heard.chain(lost).chain(reached).chain(unreached);
+        let notes = joined.chain(lost).chain(reached).chain(unreached);
         out.extend(notes.map(Effect::Noted));
     }
 
-    /// Tells when this box stops or begins to hear anybody.
-    fn note_alone(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let alone = self.hears_nobody(now);
-        if alone != self.control.alone {
-            self.control.alone = alone;
-            let note = if alone {
+    /// Reports when this box stops or starts hearing other boxes.
+    fn report_isolation(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let isolated = self.hears_nobody(now);
+        if isolated != self.control.isolated {
+            self.control.isolated = isolated;
+            let note = if isolated {
                 Note::Alone
             } else {
                 Note::Accompanied
@@ -218,9 +227,9 @@
         }
     }
 
-    /// Takes or leaves the duty to watch the store.
-    fn elect(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let watch = self.table.rank("watch", now) < WATCHERS;
+    /// Starts or stops watching the store, depending on this box's rank in the region.
+    fn update_store_watch(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let watch = self.table.rank("watch", now) < STORE_WATCHERS;
         if watch != self.control.watching {
             self.control.watching = watch;
             out.push(Effect::Watch(watch));
@@ -237,7 +246,7 @@
         }
     }
 
-    /// Sends one message to several listeners.
+    /// Sends one message to several gossip addresses.
     pub(super) fn send_all(
         &mut self,
         body: Body,
@@ -255,8 +264,8 @@
         }));
     }
 
-    /// Asks for a newer configuration where one is known of.
-    fn chase(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Requests a newer configuration from a box that has one.
+    fn fetch_newer_config(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some((version, contact)) = self.table.newest(now) else {
             return;
         };
@@ -266,10 +275,10 @@
         if version <= known {
             return;
         }
-        let patient = |(wanted, since): (Version, Time)| {
-            wanted >= version && now.since(since) < FETCH_PATIENCE
+        let in_time = |(wanted, since): (Version, Time)| {
+            wanted >= version && now.since(since) < FETCH_TIMEOUT
         };
-        if self.control.fetching.is_some_and(patient) {
+        if self.control.fetching.is_some_and(in_time) {
             return;
         }
         let peer = contact.peer;
@@ -283,7 +292,7 @@
         }
         match &frame.body {
             Body::Heartbeat(beat) if beat.contact.region == self.table.me.region => {
-                self.control.heard = true;
+                self.control.heard_peer = true;
                 self.hear_held(now, &beat.held, out);
                 self.hear_limits(now, &frame.from, &beat.limits, beat.contact.gossip, out);
                 self.learn_departures(now, &frame.from, &beat.departures, out);
@@ -294,23 +303,23 @@
                 }
             }
             Body::Digest(digest) if digest.region != self.table.me.region => {
-                self.control.heard = true;
-                self.keep_absence(&digest.region);
+                self.control.heard_peer = true;
+                self.record_absence(&digest.region);
                 self.table.digest(digest.clone(), now);
-                self.hear_absences(now, &digest.absences);
-                self.demand.hear(&digest.used, now);
+                self.receive_absences(now, &digest.absences);
+                self.demand.merge(&digest.used, now);
                 self.hear_held(now, &digest.held, out);
                 if digest.spread {
-                    self.spread(now, &frame, digest, out);
+                    self.forward_digest(now, &frame, digest, out);
                 }
             }
-            Body::Heartbeat(beat) => self.introduce(now, &beat.contact.clone(), out),
-            Body::Reading(reading) => self.hear_reading(now, &frame, *reading, out),
+            Body::Heartbeat(beat) => self.answer_foreign_box(now, &beat.contact.clone(), out),
+            Body::Reading(reading) => self.receive_reading(now, &frame, *reading, out),
             Body::Holdings(holdings) => self.learn_holdings(now, holdings),
-            Body::Members(contacts) => self.meet(now, contacts, out),
-            Body::Silent(silent) => self.hear_silent(now, silent, out),
-            Body::Report(report) => self.hear_report(now, &frame.from, report),
-            Body::Tally(tally) => self.hear_tally(now, &frame.from, tally, out),
+            Body::Members(contacts) => self.greet_unknown(now, contacts, out),
+            Body::Silent(silent) => self.receive_silence_report(now, silent, out),
+            Body::Report(report) => self.receive_report(now, &frame.from, report),
+            Body::Tally(tally) => self.receive_tally(now, &frame.from, tally, out),
             Body::Marks(marks) => self.hear_marks(now, &frame, marks, out),
             Body::Limits(limits) => {
                 self.learn_limits(now, &frame.from, limits, out);
@@ -318,18 +327,18 @@
             Body::Departures(departures) => {
                 self.learn_departures(now, &frame.from, departures, out);
             }
-            Body::Kept(told) => self.hear_kept(now, told),
-            Body::News(news) => self.hear_news(now, &frame.from, news, out),
+            Body::Kept(message) => self.receive_corrections(now, message),
+            Body::News(update) => self.receive_store_update(now, &frame.from, update, out),
             Body::Digest(_) => {}
         }
-        let told = match &frame.body {
+        let version = match &frame.body {
             Body::Heartbeat(beat) => beat.version,
             Body::Digest(digest) => digest.version,
             _ => return,
         };
-        // Looking at all boxes at each message is the square of the region.
-        if told > self.version() {
-            self.chase(now, out);
+        // Searching all boxes on every message would take quadratic time in the size of the region.
+        if version > self.version() {
+            self.fetch_newer_config(now, out);
         }
     }
 
@@ -344,7 +353,7 @@
         let version = config.version;
         if let Some(current) = current {
             if version < current.version {
-                // A peer that lags is no news; a store that went back is.
+                // A lagging peer is expected; a store that offers an older version is not.
                 if source == Source::Store {
                     self.alarm(Alarm::Older(version), out);
                 }
@@ -357,32 +366,33 @@
                 return;
             }
         }
-        self.control.told = None;
+        self.control.last_alarm = None;
         self.fleet.configure(&config.backends);
         self.demand
             .retain(|name| config.routes.iter().any(|r| r.name == *name));
         self.config = Some(config);
-        self.forget_servers();
+        self.forget_removed_servers();
         out.push(Effect::Adopted(version));
         self.announce_version(now, out);
-        self.report(now, out);
+        self.send_digests(now, out);
         self.drain_all(now, out);
     }
 
-    /// Lets others hear that a new configuration is in force: all boxes of a small region, and those of
-    /// its failure domain where this box is a hub of a large one, whose other boxes have hubs too.
+    /// Announces that a new configuration is in force: to all boxes of a small region or, as a hub
+    /// of a large one, to the boxes of its failure domain. The other failure domains have hubs of
+    /// their own.
     fn announce_version(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.registry || !self.table.has_hubs() {
-            return self.beat(now, out);
+            return self.broadcast_heartbeat(now, out);
         }
         if self.control.follow == Follow::Hub {
             let period = self.table.heartbeat_period();
-            let here = self.table.neighbours(now);
-            self.send_heartbeat(now, period, here, out);
+            let neighbours = self.table.neighbours(now);
+            self.send_heartbeat(now, period, neighbours, out);
         }
     }
 
-    /// Takes in what became known of registered backend servers.
+    /// Applies a change of the registered backend servers.
     pub(super) fn supplied(
         &mut self,
         now: Time,
@@ -402,18 +412,19 @@
         }
         self.supplied |= matches!(change, Change::List { .. });
         if self.fleet.apply(change, now) {
-            self.forget_servers();
+            self.forget_removed_servers();
         }
         for name in self.fleet.take_reborn() {
-            self.forget_life(&name, out);
+            self.forget_previous_instance(&name, out);
         }
         self.move_runs(now, out);
         self.drain_all(now, out);
     }
 
-    /// Drops what was learned of an earlier life of a backend server: it holds nothing of that, and is
-    /// no faster, slower or worse for it. What is in hand there ends by itself.
-    fn forget_life(&mut self, name: &Backend, out: &mut Vec<Effect>) {
+    /// Drops what was learned about the previous instance of a backend server. The restarted one
+    /// has an empty cache, and earlier speed and failures do not apply to it. Requests in flight
+    /// there end on their own.
+    fn forget_previous_instance(&mut self, name: &Backend, out: &mut Vec<Effect>) {
         if let Some(server) = self.servers.get_mut(name) {
             server.start_again();
         }
@@ -421,20 +432,21 @@
         out.push(Effect::Noted(Note::Reborn(name.clone())));
     }
 
-    /// Drops what was learned of backend servers that are gone.
-    fn forget_servers(&mut self) {
+    /// Drops what was learned about backend servers that no longer exist.
+    fn forget_removed_servers(&mut self) {
         let known = |name: &Backend| self.fleet.contains(name);
         self.servers.retain(|name, s| known(name) || s.busy > 0);
         self.cache.retain(|short| self.fleet.long(short).is_some());
     }
 
-    /// Takes over which failure domains the store tells to be evacuated.
+    /// Replaces the set of failure domains that the store reports as evacuated.
     pub(super) fn evacuate(&mut self, now: Time, domains: BTreeSet<Domain>, out: &mut Vec<Effect>) {
-        self.control.evacuations.tell(domains);
+        self.control.evacuations.set_reported(domains);
         self.apply_evacuations(now, out);
     }
 
-    /// Acts on which failure domains are believed to be evacuated; those that return may come back cold.
+    /// Applies the set of evacuated failure domains. Backend servers of a domain that returns may
+    /// be cold.
     pub(super) fn apply_evacuations(&mut self, now: Time, out: &mut Vec<Effect>) {
         let config = self.config.clone();
         let profiles = config.as_ref().map(|c| &c.profiles);
@@ -442,7 +454,7 @@
             let profile = profiles.and_then(|p| p.get(service));
             profile.map_or(Millis(0), |p| p.cold_lag)
         };
-        let domains = self.control.evacuations.believed(now);
+        let domains = self.control.evacuations.effective(now);
         for domain in self.evacuated.difference(&domains) {
             self.fleet.chill(domain, span, now);
         }
@@ -458,18 +470,19 @@
         self.alarm(Alarm::Unreadable(version), out);
     }
 
-    /// Tells an alarm once, until another one or a new configuration comes.
+    /// Raises an alarm, unless it is the same as the last one and no new configuration has come
+    /// since.
     fn alarm(&mut self, alarm: Alarm, out: &mut Vec<Effect>) {
-        if self.control.told.as_ref() == Some(&alarm) {
+        if self.control.last_alarm.as_ref() == Some(&alarm) {
             return;
         }
-        self.control.told = Some(alarm.clone());
+        self.control.last_alarm = Some(alarm.clone());
         out.push(Effect::Alarm(alarm));
     }
 
     pub(super) fn stop(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.control.leaving = true;
-        self.beat(now, out);
-        self.bid_farewell(now, out);
+        self.broadcast_heartbeat(now, out);
+        self.announce_stop(now, out);
     }
 }
--- a/src/reducer/demand.rs
+++ b/src/reducer/demand.rs
@@ -1,6 +1,7 @@
-//! Which routes callers use, by what this box has seen and what boxes of other regions tell.
+//! Tracks which routes callers use, as seen by this box and reported by other regions.
 //!
-//! A box that just started has seen few requests: a kind that it has not seen yet may be bound to a home.
+//! A box that just started has seen few requests, and a route that it has not seen yet may be
+//! restricted to home regions.
 
 use std::collections::{HashMap, HashSet};
 
@@ -13,73 +14,74 @@
     wire::{Short, Used},
 };
 
-/// How long a route counts as used after its last request: callers come again within it, and boxes that
-/// tell each other do not keep an idle route in use.
-const LIFE: Millis = Millis(60_000);
-/// Routes that a digest tells of, those used last first: 6 bytes each.
-const MOST: usize = 128;
+/// Time after its last request for which a route counts as used: active callers return within it,
+/// and the exchange between boxes does not prolong it.
+const USE_LIFETIME: Millis = Millis(60_000);
+/// Maximum routes in a digest, the most recently used first: 6 bytes each.
+const MAX_REPORTED_ROUTES: usize = 128;
 
-/// What is known of the routes that callers use.
+/// Usage of routes by callers.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    /// Requests that came from callers.
+    /// Requests that came from callers to this box.
     seen: HashMap<id::Service, u64>,
-    /// When a route was used last, here or elsewhere.
+    /// When a route was last used, at this box or elsewhere.
     used: HashMap<Short, Time>,
 }
 
 impl Demand {
-    /// Notes a request of `route` that came from a caller.
+    /// Records a request of `route` that came from a caller.
     pub(super) fn note(&mut self, route: &id::Service, now: Time) {
         *self.seen.entry(route.clone()).or_default() += 1;
         self.used.insert(Short::of(route.as_str()), now);
     }
 
-    /// Requests of `route` that came from callers to this box.
+    /// Returns the number of requests of `route` that came from callers to this box.
     pub(super) fn seen(&self, route: &Route) -> u64 {
         self.seen.get(&route.name).copied().unwrap_or(0)
     }
 
-    /// Whether callers use `route`, as far as this box knows.
-    pub(super) fn uses(&self, route: &Route, now: Time) -> bool {
+    /// Reports whether callers use `route`, as far as this box knows.
+    pub(super) fn is_used(&self, route: &Route, now: Time) -> bool {
         let last = self.used.get(&Short::of(route.name.as_str()));
-        last.is_some_and(|at| now.since(*at) < LIFE)
+        last.is_some_and(|at| now.since(*at) < USE_LIFETIME)
     }
 
-    /// Takes over what another region tells.
-    pub(super) fn hear(&mut self, told: &[Used], now: Time) {
-        for row in told.iter().filter(|row| row.age < LIFE) {
+    /// Merges the route usage reported by another region.
+    pub(super) fn merge(&mut self, reported: &[Used], now: Time) {
+        for row in reported.iter().filter(|row| row.age < USE_LIFETIME) {
             let last = self.used.entry(row.route).or_default();
             *last = (*last).max(now - row.age);
         }
-        self.used.retain(|_, at| now.since(*at) < LIFE);
+        self.used.retain(|_, at| now.since(*at) < USE_LIFETIME);
     }
 
-    /// Forgets routes that the configuration no longer has.
+    /// Drops routes that the configuration no longer has.
     pub(super) fn retain(&mut self, known: impl Fn(&id::Service) -> bool) {
         self.seen.retain(|route, _| known(route));
     }
 }
 
 impl<P: Policy> State<P> {
-    /// The used routes of hosts that bind some of their requests to regions: only there it matters.
+    /// Returns the used routes of hosts that restrict some of their routes to regions; usage
+    /// matters only for these.
     pub(super) fn used_routes(&self, now: Time) -> Vec<Used> {
         let Some(config) = &self.config else {
             return Vec::new();
         };
-        let bound = config.routes.iter().filter(|r| !r.regions.is_empty());
-        let hosts: HashSet<Option<&str>> = bound.map(|r| r.host.as_deref()).collect();
+        let restricted = config.routes.iter().filter(|r| !r.regions.is_empty());
+        let hosts: HashSet<Option<&str>> = restricted.map(|r| r.host.as_deref()).collect();
         let routes = config.routes.iter();
         let routes = routes.filter(|r| hosts.contains(&r.host.as_deref()));
         let mut rows: Vec<Used> = routes
             .filter_map(|route| {
                 let route = Short::of(route.name.as_str());
                 let age = now.since(*self.demand.used.get(&route)?);
-                (age < LIFE).then_some(Used { route, age })
+                (age < USE_LIFETIME).then_some(Used { route, age })
             })
             .collect();
         rows.sort_by_key(|row| row.age);
-        rows.truncate(MOST);
+        rows.truncate(MAX_REPORTED_ROUTES);
         rows
     }
 }
--- a/src/reducer/digest.rs
+++ b/src/reducer/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: what one region tells another, and how they are passed on.
+//! Digests: the summaries that regions exchange, and how they are forwarded.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -13,12 +13,12 @@
     wire::{Body, Capacity, Contact, Digest, Door, Frame, Phase, Short},
 };
 
-/// Boxes that a digest names.
-const DOORS: usize = 3;
+/// Boxes that a digest lists as entry points of its region.
+const MAX_DOORS: usize = 3;
 
 impl<P: Policy> State<P> {
-    /// Tells the other regions of this one, as far as that is this box's duty.
-    pub(super) fn report(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Sends a digest to each other region for which this box is responsible.
+    pub(super) fn send_digests(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.control.digests += 1;
         if self.phase(now) == Phase::Leaving {
             return;
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Tells every other region that this box takes no relays any more; a box there passes it on.
-    pub(super) fn bid_farewell(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Tells every other region that this box accepts no more relayed requests. The receiving box
+    /// forwards the digest within its region.
+    pub(super) fn announce_stop(&mut self, now: Time, out: &mut Vec<Effect>) {
         let digest = self.summary(now);
         for region in self.other_regions() {
             if let Some(to) = self.digest_target(now, &region) {
@@ -51,27 +52,28 @@
     pub(super) fn other_regions(&self) -> Vec<Region> {
         let seeded = self.seeds.iter().filter_map(|s| s.region.clone());
         let configured = self.config.iter().flat_map(|c| c.regions.keys().cloned());
-        let heard = self.table.regions().map(|(region, _)| region.clone());
-        let mut regions: BTreeSet<Region> = seeded.chain(configured).chain(heard).collect();
+        let known = self.table.regions().map(|(region, _)| region.clone());
+        let mut regions: BTreeSet<Region> = seeded.chain(configured).chain(known).collect();
         regions.remove(&self.table.me.region);
         regions.into_iter().collect()
     }
 
-    /// Where the next digest for `region` goes: its doors and the seeds there take turns.
+    /// Returns the address for the next digest to `region`, taking turns among the boxes that its
+    /// last digest listed and, if the region is silent or lists no box, its seeds.
     ///
-    /// One copy is enough, since its receiver passes it on; the turns get round one that is gone,
-    /// and a seed finds a region that was replaced whole.
+    /// One copy suffices, since its receiver forwards it. Taking turns skips a box that is gone,
+    /// and a seed reaches a region whose boxes were all replaced.
     fn digest_target(&self, now: Time, region: &Region) -> Option<SocketAddr> {
         let remote = self.table.region(region);
         let doors = remote.map_or(&[][..], |r| &r.digest.doors);
-        let near = |s: &Seed| {
+        let is_neighbour = |s: &Seed| {
             self.table
                 .peers()
                 .any(|p| p.last.contact.gossip == s.gossip)
         };
         let seeds = self.seeds.iter().filter(|s| match &s.region {
             Some(seeded) => seeded == region,
-            None => s.gossip != self.table.me.gossip && !near(s),
+            None => s.gossip != self.table.me.gossip && !is_neighbour(s),
         });
         let live = remote.is_some_and(|r| now.since(r.heard) <= self.table.region_suspect());
         let mut targets: Vec<SocketAddr> = doors.iter().map(|d| d.contact.gossip).collect();
@@ -84,14 +86,15 @@
 
     pub(super) fn summary(&self, now: Time) -> Digest {
         let usual = self.table.usual_weight(now);
-        let place = |busy: u32, room: Room| (room.full, load(busy, room.weight.unwrap_or(usual)));
+        let sort_key =
+            |busy: u32, room: Room| (room.full, load(busy, room.weight.unwrap_or(usual)));
         let me = (self.phase(now) == Phase::Ready).then(|| {
             let door = Door {
                 contact: self.table.me.clone(),
                 incarnation: self.table.incarnation,
                 uptime: now,
             };
-            (place(self.jobs.len() as u32, self.table.room), door)
+            (sort_key(self.jobs.len() as u32, self.table.room), door)
         });
         let others = self.table.ready(now).map(|peer| {
             let door = Door {
@@ -99,19 +102,19 @@
                 incarnation: peer.incarnation,
                 uptime: peer.uptime(now),
             };
-            (place(peer.last.busy, peer.last.room), door)
+            (sort_key(peer.last.busy, peer.last.room), door)
         });
         let mut doors: Vec<((bool, u64), Door)> = me.into_iter().chain(others).collect();
         doors.sort_by(|a, b| (a.0, &a.1.contact.name).cmp(&(b.0, &b.1.contact.name)));
-        let near = self.table.live(now).map(|p| p.last.version);
+        let local = self.table.live(now).map(|p| p.last.version);
         Digest {
             region: self.table.me.region.clone(),
-            version: near.max().unwrap_or_default().max(self.version()),
+            version: local.max().unwrap_or_default().max(self.version()),
             revision: self.table.revision(now).max(self.revision),
             absences: self.absences(now),
             used: self.used_routes(now),
             stopping: doors.is_empty() && self.phase(now) == Phase::Leaving,
-            doors: doors.into_iter().map(|(_, d)| d).take(DOORS).collect(),
+            doors: doors.into_iter().map(|(_, d)| d).take(MAX_DOORS).collect(),
             services: self.capacities(now),
             held: self.quarantine.told(now),
             uses: self.table.uses(self.accounts.told(now), now),
@@ -142,7 +145,8 @@
                 let server = self.servers.get(&backend.name).cloned().unwrap_or_default();
                 let slots = server.slots(backend.slots, now);
                 let busy = server.busy + self.table.busy(Short::of(backend.name.as_str()), now);
-                // Free slots of a limited or a cold server are none that others may use.
+                // Slots beyond what a request limit or the rate for cold servers allows are not
+                // offered to other regions.
                 let limited = server.limit.slots(slots, server.whole());
                 let cold = self.cold_slots(now, service, backend, server.whole());
                 let limited = cold.map_or(limited, |cold| cold.min(limited));
@@ -163,13 +167,18 @@
         services.into_iter().filter_map(capacity).collect()
     }
 
-    /// Answers a box of another region that took this one for a neighbour: what is known of the
-    /// boxes of its region, and a digest of this one.
-    pub(super) fn introduce(&mut self, now: Time, stranger: &Contact, out: &mut Vec<Effect>) {
-        let remote = self.table.region(&stranger.region);
+    /// Answers a box of another region that sent a heartbeat to this one as if both were in the
+    /// same region: sends the known boxes of its region, and a digest of this region.
+    pub(super) fn answer_foreign_box(
+        &mut self,
+        now: Time,
+        sender: &Contact,
+        out: &mut Vec<Effect>,
+    ) {
+        let remote = self.table.region(&sender.region);
         let doors = remote.map_or(&[][..], |r| &r.digest.doors);
         let contacts: Vec<Contact> = doors.iter().map(|d| d.contact.clone()).collect();
-        let to = stranger.gossip;
+        let to = sender.gossip;
         let frame = self.frame(Body::Members(contacts));
         out.push(Effect::Gossip { to, frame });
         if self.phase(now) != Phase::Leaving {
@@ -179,20 +188,27 @@
         }
     }
 
-    /// Every box of the region, and one of each other region that is to spread the word there.
+    /// Returns the gossip addresses of all boxes of this region, and of one box of each other
+    /// region. The flag marks the latter, which forwards the message within its region.
     pub(super) fn everyone(&self, now: Time) -> Vec<(SocketAddr, bool)> {
-        let near = self.table.live(now).map(|p| p.last.contact.gossip);
-        let far = self.table.reachable(now).filter_map(|(_, remote)| {
+        let local = self.table.live(now).map(|p| p.last.contact.gossip);
+        let remote_doors = self.table.reachable(now).filter_map(|(_, remote)| {
             let doors = &remote.digest.doors;
             let turn = (self.attempts as usize).checked_rem(doors.len())?;
             Some(doors[turn].contact.gossip)
         });
-        let near = near.map(|to| (to, false));
-        near.chain(far.map(|to| (to, true))).collect()
+        let local = local.map(|to| (to, false));
+        local.chain(remote_doors.map(|to| (to, true))).collect()
     }
 
-    /// Passes a digest on inside this region.
-    pub(super) fn spread(&self, now: Time, frame: &Frame, digest: &Digest, out: &mut Vec<Effect>) {
+    /// Forwards a digest within this region.
+    pub(super) fn forward_digest(
+        &self,
+        now: Time,
+        frame: &Frame,
+        digest: &Digest,
+        out: &mut Vec<Effect>,
+    ) {
         let body = Body::Digest(Digest {
             spread: false,
             ..digest.clone()
@@ -200,8 +216,8 @@
         self.pass_on(now, frame, body, out);
     }
 
-    /// Sends `body` to the boxes of this region in place of that of `frame`, under its maker's name
-    /// and number.
+    /// Sends `body` to the boxes of this region in place of that of `frame`, with the sender and
+    /// sequence number of `frame`.
     pub(super) fn pass_on(&self, now: Time, frame: &Frame, body: Body, out: &mut Vec<Effect>) {
         let copy = Frame {
             body,
--- a/src/reducer/engine_news.rs
+++ b/src/reducer/engine_news.rs
@@ -1,8 +1,9 @@
-//! What engines tell of the long parts of prompts that they keep: who follows which engine, and what the boxes
-//! of its region are told.
+//! Tracks which long parts of prompts the engines keep: which box follows which engine, and what it
+//! reports to the boxes of its region.
 //!
-//! All boxes of a region hear what is sent to an engine, and so believe the same of it. The box that follows
-//! an engine tells them only where the engine's own word differs from that.
+//! All boxes of a region learn of each prompt that is sent to an engine, and so assume the same
+//! cache content. The box that follows an engine reports only the differences between that
+//! assumption and what the engine itself reports.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -22,180 +23,197 @@
         State,
         control::Control,
         effect::Effect,
-        inventory::{EARLY, LISTEN, MET, MOST},
+        inventory::{DISCOVERY_TIME, LISTEN_DELAY, MAX_EARLY_ENGINES, MAX_ENGINES},
     },
     unit::{Millis, Time},
     wire::{Body, Holding, Phase, Short},
 };
 
-/// Time between two looks at who follows whom.
-const LOOK: Millis = Millis(300);
-/// Engines looked at each time: a look stays short in a region of thousands.
-const LOOKS: usize = 512;
-/// How old news may be when it comes: an engine makes it some tenths of a second before it tells, and is asked
-/// twice a second. What was sent there within that time is not undone by it.
-const LAG: Millis = Millis(1000);
-/// By when an engine has read what was sent there, or it never came to that: a few waits for a slot.
-const READ_BY: Millis = Millis(5000);
-/// Time between two comparisons of what was sent to an engine with what it keeps.
-const SWEEP: Millis = Millis(1000);
-/// An engine unheard for this long is no longer spoken for: four calls of the longest wait.
-const SILENT: Millis = Millis(4000);
-/// How long changes are gathered before the others are told.
-const GATHER: Millis = Millis(300);
-/// Time after which the others are told that nothing changed.
-const KEEP: Millis = Millis(3000);
+/// Time between two selections of the engines to follow.
+const SELECTION_PERIOD: Millis = Millis(300);
+/// Engines examined per selection, so that it stays short in a region of thousands.
+const MAX_EXAMINED: usize = 512;
+/// Maximum age of an engine's report on arrival: the engine collects it some tenths of a second
+/// before sending, and is polled twice a second. Prompts sent to the engine within that time are
+/// not removed by the report.
+const MAX_REPORT_DELAY: Millis = Millis(1000);
+/// Time for an engine to read a prompt that was sent to it, a few waits for a slot. A part that it
+/// does not keep by then was never read.
+const READ_TIMEOUT: Millis = Millis(5000);
+/// Time between two comparisons of the prompts sent to an engine with the parts that it keeps.
+const COMPARISON_PERIOD: Millis = Millis(1000);
+/// Time without a report after which an engine no longer counts as followed: four calls with the
+/// longest wait.
+const ENGINE_TIMEOUT: Millis = Millis(4000);
+/// Time for which changes are batched before they are sent to the other boxes.
+const BATCH_DELAY: Millis = Millis(300);
+/// Time after which a message is sent even if nothing changed.
+const KEEPALIVE_PERIOD: Millis = Millis(3000);
 /// Messages that may be lost before an engine no longer counts as followed.
-const MISSED: u64 = 3;
-/// Longest time for which one message may speak.
-const MAX_LASTS: Millis = Millis(60_000);
-/// Bytes a second that a box spends on telling all others, and what it may save up for its start. At a peak about
-/// 100 long parts a second give way in a region of 70 engines and 24 boxes: four a second at each box, told to 23.
-const RATE: usize = 5000;
-const BURST: usize = 32 << 10;
-/// Bytes of a message, of an engine and of a part in it, about.
-const FRAME: usize = 48;
-const ENGINE: usize = 12;
-const ROW: usize = 12;
-/// Parts in one message.
+const MAX_LOST_MESSAGES: u64 = 3;
+/// Longest validity that is accepted from a message.
+const MAX_VALIDITY: Millis = Millis(60_000);
+/// Bytes per second that a box may spend on corrections to all other boxes, and the burst that it
+/// may save up for its start. At peak, about 100 long parts a second are evicted in a region of 70
+/// engines and 24 boxes: four a second at each box, sent to 23 others.
+const BYTES_PER_SECOND: usize = 5000;
+const BURST_BYTES: usize = 32 << 10;
+/// Approximate bytes of a message, of an engine in it, and of a part in it.
+const FRAME_BYTES: usize = 48;
+const ENGINE_BYTES: usize = 12;
+const ROW_BYTES: usize = 12;
+/// Maximum parts in one message.
 const MAX_ROWS: usize = 256;
-/// Parts that wait to be told.
-const MAX_WAITING: usize = 4096;
+/// Maximum corrections that wait to be sent.
+const MAX_PENDING: usize = 4096;
 
-/// An engine that this box follows.
 #[derive(Debug)]
 struct Followed {
     address: SocketAddr,
     incarnation: Option<Incarnation>,
     life: Short,
-    /// When it told something last, where nothing was missed since.
-    heard: Option<Time>,
+    /// When the last report arrived; `None` if reports were missed since.
+    last_report: Option<Time>,
     /// The long parts that it keeps.
     held: HashSet<u64>,
 }
 
-/// What differs from what the boxes believe.
+/// A difference between an engine's report and what the boxes assume.
 #[derive(Clone, Copy, Debug)]
 struct Correction {
     kept: bool,
     at: Time,
 }
 
-/// What a box knows of engines at first hand.
+/// What a box has learned directly from the engines that it follows, and the corrections that it
+/// still has to send.
 #[derive(Debug, Default)]
 pub(super) struct Desk {
     followed: BTreeMap<id::Backend, Followed>,
-    /// Engines that are still to be looked at in this round.
-    left: Vec<id::Backend>,
+    /// Engines not yet examined in this round.
+    unexamined: Vec<id::Backend>,
     corrections: BTreeMap<(Short, u64), Correction>,
-    /// The correction that was told last.
-    turn: Option<(Short, u64)>,
-    last_look: Option<Time>,
-    last_sweep: Option<Time>,
-    last_told: Option<Time>,
-    /// Bytes that may be spent on telling, and as of when.
+    /// Key of the last correction that was sent.
+    last_sent_key: Option<(Short, u64)>,
+    last_selection: Option<Time>,
+    last_comparison: Option<Time>,
+    last_sent: Option<Time>,
+    /// Bytes that may be spent on corrections, and when that was last updated.
     allowance: usize,
-    counted: Option<Time>,
+    allowance_updated: Option<Time>,
 }
 
 impl Desk {
     fn correct(&mut self, backend: Short, part: u64, kept: bool, at: Time) {
         let known = self.corrections.contains_key(&(backend, part));
-        if known || self.corrections.len() < MAX_WAITING {
+        if known || self.corrections.len() < MAX_PENDING {
             let correction = Correction { kept, at };
             self.corrections.insert((backend, part), correction);
         }
     }
 
-    /// The bytes that may be spent at `now`.
+    /// Updates and returns the bytes that may be spent at `now`.
     fn allowance(&mut self, now: Time) -> usize {
-        let span = self.counted.map_or(Millis(u64::MAX), |at| now.since(at));
-        self.counted = Some(now);
-        let earned = (span.0 as usize).saturating_mul(RATE) / 1000;
-        self.allowance = self.allowance.saturating_add(earned).min(BURST);
+        let span = self
+            .allowance_updated
+            .map_or(Millis(u64::MAX), |at| now.since(at));
+        self.allowance_updated = Some(now);
+        let earned = (span.0 as usize).saturating_mul(BYTES_PER_SECOND) / 1000;
+        self.allowance = self.allowance.saturating_add(earned).min(BURST_BYTES);
         self.allowance
     }
 
-    /// Takes the correction whose turn it is: where the bytes do not suffice, no engine is left out for good.
+    /// Removes the next correction in turn, so that no engine is starved while the bytes do not
+    /// suffice for all.
     fn next_correction(&mut self) -> Option<((Short, u64), Correction)> {
         let later = self
-            .turn
-            .and_then(|turn| self.corrections.range(turn..).next());
+            .last_sent_key
+            .and_then(|key| self.corrections.range(key..).next());
         let (key, _) = later.or_else(|| self.corrections.first_key_value())?;
         let key = *key;
-        self.turn = Some(key);
+        self.last_sent_key = Some(key);
         self.corrections.remove_entry(&key)
     }
 
-    /// The words for the engines heard lately, with up to `rows` corrections.
-    fn words(&mut self, rows: usize, now: Time) -> Vec<Word> {
-        let fresh = |f: &Followed| f.heard.is_some_and(|at| now.since(at) < SILENT);
-        let mut words = BTreeMap::new();
+    /// Builds the reports on the engines heard recently, with up to `rows` corrections.
+    fn reports(&mut self, rows: usize, now: Time) -> Vec<Word> {
+        let fresh = |f: &Followed| {
+            f.last_report
+                .is_some_and(|at| now.since(at) < ENGINE_TIMEOUT)
+        };
+        let mut reports = BTreeMap::new();
         for (name, engine) in self.followed.iter().filter(|(_, f)| fresh(f)) {
             let backend = Short::of(name.as_str());
-            let word = Word {
+            let report = Word {
                 backend,
                 life: engine.life,
                 kept: Vec::new(),
                 gone: Vec::new(),
             };
-            words.insert(backend, word);
+            reports.insert(backend, report);
         }
         for _ in 0..rows {
             let Some(((backend, part), correction)) = self.next_correction() else {
                 break;
             };
-            let Some(word) = words.get_mut(&backend) else {
+            let Some(report) = reports.get_mut(&backend) else {
                 continue;
             };
             if correction.kept {
-                word.kept.push(part);
+                report.kept.push(part);
             } else {
                 let age = now.since(correction.at);
-                word.gone.push(Gone { part, age });
+                report.gone.push(Gone { part, age });
             }
         }
-        words.into_values().collect()
+        reports.into_values().collect()
     }
 }
 
 impl<P: Policy> State<P> {
-    /// Chooses the engines that this box follows, and tells the others what it heard.
-    pub(super) fn follow_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if !self.supplied || now.since(Time(0)) < LISTEN {
+    /// Chooses the engines that this box follows, and sends corrections to the other boxes.
+    pub(super) fn update_followed_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if !self.supplied || now.since(Time(0)) < LISTEN_DELAY {
             return;
         }
-        if Control::due(&mut self.engine_news.last_look, LOOK, now) {
-            self.leave_engines(now, out);
-            self.look_for_engines(now, out);
+        if Control::due(&mut self.engine_news.last_selection, SELECTION_PERIOD, now) {
+            self.unfollow_engines(now, out);
+            self.select_engines(now, out);
         }
         if self.engine_news.followed.is_empty() {
             return;
         }
-        if Control::due(&mut self.engine_news.last_sweep, SWEEP, now) {
+        if Control::due(
+            &mut self.engine_news.last_comparison,
+            COMPARISON_PERIOD,
+            now,
+        ) {
             self.drop_unread(now);
         }
-        self.tell_kept(now, out);
+        self.send_corrections(now, out);
     }
 
-    /// Engines that this box follows.
+    /// Returns the number of engines that this box follows.
     pub fn followed_engines(&self) -> usize {
         self.engine_news.followed.len()
     }
 
-    /// How long ago the one of them was heard that was heard longest ago.
+    /// Returns the time since the last report of the followed engine that has been silent the
+    /// longest.
     pub fn engine_news_age(&self, now: Time) -> Millis {
         let followed = self.engine_news.followed.values();
-        let ages = followed.filter_map(|f| f.heard).map(|at| now.since(at));
+        let ages = followed
+            .filter_map(|f| f.last_report)
+            .map(|at| now.since(at));
         ages.max().unwrap_or_default()
     }
 
-    fn leave_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn unfollow_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
         let leaves = |name: &id::Backend, f: &Followed| {
             let backend = self.fleet.get(name);
             let same =
                 backend.is_some_and(|b| (b.address, b.incarnation) == (f.address, f.incarnation));
-            !same || !self.may_follow(name, now)
+            !same || !self.should_follow(name, now)
         };
         let followed = self.engine_news.followed.iter();
         let left = followed.filter(|(name, f)| leaves(name, f));
@@ -206,8 +224,9 @@
         }
     }
 
-    /// Whether this box is to follow an engine: a cold one may bear no call, and one that leaves gets no work.
-    fn may_follow(&self, name: &id::Backend, now: Time) -> bool {
+    /// Reports whether this box should follow an engine. A cold one may not withstand the calls,
+    /// and one that is leaving gets no work.
+    fn should_follow(&self, name: &id::Backend, now: Time) -> bool {
         let Some(backend) = self.fleet.get(name) else {
             return false;
         };
@@ -222,22 +241,26 @@
         tells && here && serves && self.table.leads(name.as_str(), now)
     }
 
-    fn look_for_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let young = now.since(Time(0)) < MET;
-        let most = if young { EARLY } else { MOST };
+    fn select_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let early = now.since(Time(0)) < DISCOVERY_TIME;
+        let most = if early {
+            MAX_EARLY_ENGINES
+        } else {
+            MAX_ENGINES
+        };
         if self.engine_news.followed.len() >= most {
             return;
         }
-        if self.engine_news.left.is_empty() {
-            self.engine_news.left = self.telling_engines(young);
+        if self.engine_news.unexamined.is_empty() {
+            self.engine_news.unexamined = self.reporting_engines(early);
         }
-        let left = &mut self.engine_news.left;
-        let looked = left.split_off(left.len().saturating_sub(LOOKS));
-        for name in looked.into_iter().rev() {
+        let left = &mut self.engine_news.unexamined;
+        let examined = left.split_off(left.len().saturating_sub(MAX_EXAMINED));
+        for name in examined.into_iter().rev() {
             if self.engine_news.followed.len() >= most {
                 return;
             }
-            if self.engine_news.followed.contains_key(&name) || !self.may_follow(&name, now) {
+            if self.engine_news.followed.contains_key(&name) || !self.should_follow(&name, now) {
                 continue;
             }
             self.follow_engine(name, out);
@@ -253,7 +276,7 @@
             address,
             incarnation,
             life: backend.life(),
-            heard: None,
+            last_report: None,
             held: HashSet::new(),
         };
         self.engine_news.followed.insert(name.clone(), followed);
@@ -264,186 +287,191 @@
         });
     }
 
-    /// The engines of this region that tell; where this box may not know the others yet, those last for
-    /// which it ranks highest.
-    fn telling_engines(&self, young: bool) -> Vec<id::Backend> {
+    /// Returns the engines of this region that report cache changes. While this box may not know
+    /// the other boxes yet, those for which it ranks highest come last.
+    fn reporting_engines(&self, early: bool) -> Vec<id::Backend> {
         let Some(config) = &self.config else {
             return Vec::new();
         };
-        let telling = config.profiles.iter();
-        let telling = telling.filter(|(_, p)| p.engine.is_some_and(|e| e.watchers > 0));
+        let reporting = config.profiles.iter();
+        let reporting = reporting.filter(|(_, p)| p.engine.is_some_and(|e| e.watchers > 0));
         let region = &self.table.me.region;
-        let engines = telling.flat_map(|(service, _)| self.fleet.serving(service, region));
+        let engines = reporting.flat_map(|(service, _)| self.fleet.serving(service, region));
         let mut names: Vec<id::Backend> = engines.map(|b| b.name.clone()).collect();
-        if young {
+        if early {
             names.sort_by_cached_key(|name| weight(&self.table.me.name, name.as_str()));
         }
         names
     }
 
-    /// Takes in what an engine told of what it keeps.
+    /// Records what an engine reports of the parts that it keeps.
     pub(super) fn take_engine_news(
         &mut self,
         now: Time,
         name: &id::Backend,
         incarnation: Option<Incarnation>,
-        news: &News,
+        report: &News,
     ) {
         let followed = self.engine_news.followed.get_mut(name);
         let Some(engine) = followed.filter(|f| f.incarnation == incarnation) else {
             return;
         };
         let backend = Short::of(name.as_str());
-        match news {
+        match report {
             News::Gap => {
-                engine.heard = None;
+                engine.last_report = None;
                 return self.cache.distrust(backend);
             }
             News::All(parts) => {
-                engine.heard = Some(now);
-                let all: HashSet<u64> = long(parts).collect();
+                engine.last_report = Some(now);
+                let all: HashSet<u64> = long_parts(parts).collect();
                 let gone: Vec<u64> = engine.held.difference(&all).copied().collect();
                 gone.into_iter()
-                    .for_each(|part| self.engine_lost(name, part, now));
+                    .for_each(|part| self.record_evicted(name, part, now));
                 all.into_iter()
-                    .for_each(|part| self.engine_kept(name, part, now));
+                    .for_each(|part| self.record_kept(name, part, now));
             }
-            // What another life or an earlier call told is not followed by these changes.
-            News::Changes(_) if engine.heard.is_none() => return,
+            // The changes do not follow on a list of another instance or an earlier call.
+            News::Changes(_) if engine.last_report.is_none() => return,
             News::Changes(changes) => {
-                engine.heard = Some(now);
+                engine.last_report = Some(now);
                 for change in changes {
                     match change {
                         Change::Kept(part) if part.tokens >= cache::LONG => {
-                            self.engine_kept(name, part.id, now);
+                            self.record_kept(name, part.id, now);
                         }
                         Change::Kept(_) => {}
-                        Change::Gone(part) => self.engine_lost(name, *part, now),
+                        Change::Gone(part) => self.record_evicted(name, *part, now),
                     }
                 }
             }
         }
-        self.cache.trust(backend, now + SILENT);
+        self.cache.trust(backend, now + ENGINE_TIMEOUT);
     }
 
-    fn engine_kept(&mut self, name: &id::Backend, part: u64, now: Time) {
+    fn record_kept(&mut self, name: &id::Backend, part: u64, now: Time) {
         let backend = Short::of(name.as_str());
         if let Some(engine) = self.engine_news.followed.get_mut(name) {
             engine.held.insert(part);
         }
         if !self.cache.names(backend, part) {
-            self.cache.confirm(Holding { backend, part }, now - LAG);
+            self.cache
+                .confirm(Holding { backend, part }, now - MAX_REPORT_DELAY);
             self.engine_news.correct(backend, part, true, now);
         } else if self.engine_news.corrections.contains_key(&(backend, part)) {
             self.engine_news.correct(backend, part, true, now);
         }
     }
 
-    fn engine_lost(&mut self, name: &id::Backend, part: u64, now: Time) {
+    fn record_evicted(&mut self, name: &id::Backend, part: u64, now: Time) {
         let backend = Short::of(name.as_str());
         let engine = self.engine_news.followed.get_mut(name);
         let held = engine.is_some_and(|engine| engine.held.remove(&part));
         if held || self.cache.names(backend, part) {
-            self.cache.drop_part(backend, part, now - LAG);
+            self.cache.drop_part(backend, part, now - MAX_REPORT_DELAY);
             self.engine_news.correct(backend, part, false, now);
         }
     }
 
-    /// Drops what was sent to followed engines a while ago and is not kept there: it was never read there,
-    /// or the news of its end came before it was sent.
+    /// Drops parts that were sent to a followed engine some time ago and are not kept there: they
+    /// were never read, or the report of their eviction arrived before they were sent.
     fn drop_unread(&mut self, now: Time) {
         let followed = self.engine_news.followed.iter();
-        let heard = followed.filter(|(_, f)| f.heard.is_some());
-        let held: BTreeMap<Short, &HashSet<u64>> = heard
+        let reporting = followed.filter(|(_, f)| f.last_report.is_some());
+        let held: BTreeMap<Short, &HashSet<u64>> = reporting
             .map(|(name, f)| (Short::of(name.as_str()), &f.held))
             .collect();
         let unread = |(part, backend, at): &(u64, Short, Time)| {
             let kept = held.get(backend).is_none_or(|parts| parts.contains(part));
-            !kept && now.since(*at) > READ_BY
+            !kept && now.since(*at) > READ_TIMEOUT
         };
         let unread: Vec<_> = self.cache.copies().filter(unread).collect();
         for (part, backend, _) in unread {
-            self.cache.drop_part(backend, part, now - LAG);
+            self.cache.drop_part(backend, part, now - MAX_REPORT_DELAY);
             self.engine_news.correct(backend, part, false, now);
         }
     }
 
-    /// Tells the boxes of the region, as far as the bytes for it go.
-    fn tell_kept(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Sends corrections to the boxes of the region within the byte allowance.
+    fn send_corrections(&mut self, now: Time, out: &mut Vec<Effect>) {
         let allowance = self.engine_news.allowance(now);
-        let desk = &self.engine_news;
-        let since = desk.last_told.map_or(KEEP, |at| now.since(at));
-        let due = since >= KEEP || (since >= GATHER && !desk.corrections.is_empty());
+        let tracker = &self.engine_news;
+        let since = tracker
+            .last_sent
+            .map_or(KEEPALIVE_PERIOD, |at| now.since(at));
+        let due =
+            since >= KEEPALIVE_PERIOD || (since >= BATCH_DELAY && !tracker.corrections.is_empty());
         if !due {
             return;
         }
-        let near: Vec<SocketAddr> = self
+        let targets: Vec<SocketAddr> = self
             .table
             .live(now)
             .map(|p| p.last.contact.gossip)
             .collect();
-        if near.is_empty() {
+        if targets.is_empty() {
             return self.engine_news.corrections.clear();
         }
-        let fixed = FRAME + ENGINE * self.engine_news.followed.len();
-        let Some(left) = (allowance / near.len()).checked_sub(fixed + ROW) else {
+        let fixed = FRAME_BYTES + ENGINE_BYTES * self.engine_news.followed.len();
+        let Some(left) = (allowance / targets.len()).checked_sub(fixed + ROW_BYTES) else {
             return;
         };
-        let rows = (1 + left / ROW)
+        let rows = (1 + left / ROW_BYTES)
             .min(MAX_ROWS)
             .min(self.engine_news.corrections.len());
-        let engines = self.engine_news.words(rows, now);
-        self.engine_news.last_told = Some(now);
+        let engines = self.engine_news.reports(rows, now);
+        self.engine_news.last_sent = Some(now);
         if engines.is_empty() {
             return;
         }
-        let desk = &mut self.engine_news;
-        desk.allowance = desk
+        let tracker = &mut self.engine_news;
+        tracker.allowance = tracker
             .allowance
-            .saturating_sub((fixed + rows * ROW) * near.len());
-        let pace = Millis((near.len() * (fixed + ROW) * 1000 / RATE) as u64);
-        let lasts = Millis(MISSED * pace.max(KEEP).0);
-        self.send_all(Body::Kept(Told { lasts, engines }), near, out);
+            .saturating_sub((fixed + rows * ROW_BYTES) * targets.len());
+        let interval =
+            Millis((targets.len() * (fixed + ROW_BYTES) * 1000 / BYTES_PER_SECOND) as u64);
+        let lasts = Millis(MAX_LOST_MESSAGES * interval.max(KEEPALIVE_PERIOD).0);
+        self.send_all(Body::Kept(Told { lasts, engines }), targets, out);
     }
 
-    /// Takes over what another box of the region heard from engines.
-    pub(super) fn hear_kept(&mut self, now: Time, told: &Told) {
-        let until = now + told.lasts.min(MAX_LASTS);
+    /// Applies the corrections of another box of the region.
+    pub(super) fn receive_corrections(&mut self, now: Time, message: &Told) {
+        let until = now + message.lasts.min(MAX_VALIDITY);
         let mut rows = MAX_ROWS;
-        for word in told.engines.iter().take(MOST) {
-            let Some(backend) = self.named_here(word.backend, word.life) else {
+        for report in message.engines.iter().take(MAX_ENGINES) {
+            let Some(backend) = self.named_here(report.backend, report.life) else {
                 continue;
             };
             let name = backend.name.clone();
-            // What this box hears itself is newer.
+            // This box's own reports from the engine are newer.
             if self
                 .engine_news
                 .followed
                 .get(&name)
-                .is_some_and(|f| f.heard.is_some())
+                .is_some_and(|f| f.last_report.is_some())
             {
                 continue;
             }
-            for part in word.kept.iter().take(rows) {
+            for part in report.kept.iter().take(rows) {
                 let holding = Holding {
-                    backend: word.backend,
+                    backend: report.backend,
                     part: *part,
                 };
-                self.cache.confirm(holding, now - LAG);
+                self.cache.confirm(holding, now - MAX_REPORT_DELAY);
             }
-            rows = rows.saturating_sub(word.kept.len());
-            for gone in word.gone.iter().take(rows) {
+            rows = rows.saturating_sub(report.kept.len());
+            for gone in report.gone.iter().take(rows) {
                 self.cache
-                    .drop_part(word.backend, gone.part, now - gone.age - LAG);
+                    .drop_part(report.backend, gone.part, now - gone.age - MAX_REPORT_DELAY);
             }
-            rows = rows.saturating_sub(word.gone.len());
-            self.cache.trust(word.backend, until);
+            rows = rows.saturating_sub(report.gone.len());
+            self.cache.trust(report.backend, until);
         }
     }
 }
 
-/// The long ones of `parts`.
-fn long(parts: &[Part]) -> impl Iterator<Item = u64> {
+/// Returns the identities of the long ones among `parts`.
+fn long_parts(parts: &[Part]) -> impl Iterator<Item = u64> {
     let long = parts.iter().filter(|part| part.tokens >= cache::LONG);
     long.map(|part| part.id)
 }
--- a/src/reducer/era.rs
+++ b/src/reducer/era.rs
@@ -1,8 +1,9 @@
-//! The platform's store came back from a copy that is some seconds old.
+//! Recovery after the platform's store came back from a backup copy that is some seconds old.
 //!
-//! Load pattern: until the operator and the backend servers have written again what they wrote since the copy, the
-//! store tells of servers that left as if they took work, and lacks the last evacuations. All boxes learn that
-//! within seconds of each other. What a box knew holds for that time.
+//! Load pattern: until the operator and the backend servers have repeated their writes since the
+//! copy, the store lists departed servers as accepting work and lacks the latest evacuations. All
+//! boxes notice this within seconds of each other. During that time a box keeps what it knew
+//! before.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,49 +18,52 @@
     unit::Time,
 };
 
-/// The duty to write again what the boxes keep in the store.
-const DUTY: &str = "keep";
+/// Rank label of the box that writes the quarantine table again after a restore.
+const REWRITE_DUTY: &str = "keep";
 
-/// Which failure domains are under evacuation.
+/// Failure domains under evacuation.
 #[derive(Debug, Default)]
 pub(super) struct Evacuations {
-    /// What the store tells.
-    pub(super) told: BTreeSet<Domain>,
-    /// Those that it told before it came back from a copy, and until when they are believed.
-    kept: BTreeMap<Domain, Time>,
+    /// Domains that the store reports.
+    pub(super) reported: BTreeSet<Domain>,
+    /// Domains that the store reported before it was restored, with the time until which they still
+    /// count.
+    retained: BTreeMap<Domain, Time>,
 }
 
 impl Evacuations {
-    /// Takes over what the store tells now.
-    pub(super) fn tell(&mut self, domains: BTreeSet<Domain>) {
-        self.kept.retain(|domain, _| !domains.contains(domain));
-        self.told = domains;
+    /// Replaces the domains that the store reports.
+    pub(super) fn set_reported(&mut self, domains: BTreeSet<Domain>) {
+        self.retained.retain(|domain, _| !domains.contains(domain));
+        self.reported = domains;
     }
 
-    /// All that are believed at `now`.
-    pub(super) fn believed(&self, now: Time) -> BTreeSet<Domain> {
-        let kept = self.kept.iter().filter(|(_, until)| now < **until);
-        let kept = kept.map(|(domain, _)| domain);
-        self.told.iter().chain(kept).cloned().collect()
+    /// Returns all domains that count as evacuated at `now`.
+    pub(super) fn effective(&self, now: Time) -> BTreeSet<Domain> {
+        let retained = self.retained.iter().filter(|(_, until)| now < **until);
+        let retained = retained.map(|(domain, _)| domain);
+        self.reported.iter().chain(retained).cloned().collect()
     }
 
-    /// Forgets those that were not told again in time; true where there were any.
+    /// Drops the retained domains that the store did not report again in time; returns whether
+    /// there were any.
     fn expire(&mut self, now: Time) -> bool {
-        let before = self.kept.len();
-        self.kept.retain(|_, until| now < *until);
-        self.kept.len() < before
+        let before = self.retained.len();
+        self.retained.retain(|_, until| now < *until);
+        self.retained.len() < before
     }
 }
 
 impl<P: Policy> State<P> {
-    /// Takes from a revision of the store which era it is.
+    /// Handles the era of a store revision. A newer era means that the store was restored from a
+    /// copy.
     pub(super) fn notice_era(&mut self, now: Time, era: Era, out: &mut Vec<Effect>) {
         if era <= self.control.era {
             return;
         }
         self.control.era = era;
         if !self.supplied {
-            // This box knows nothing of before.
+            // This box has no state from before the restore.
             return;
         }
         out.push(Effect::Noted(Note::Era(era)));
@@ -67,26 +71,26 @@
         self.fleet.enter_era(now);
         let until = now + RESTORED;
         let evacuated = self.evacuated.iter().cloned();
-        let kept = evacuated.map(|domain| (domain, until));
-        self.control.evacuations.kept.extend(kept);
-        self.keep_again(now, out);
+        let retained = evacuated.map(|domain| (domain, until));
+        self.control.evacuations.retained.extend(retained);
+        self.rewrite_quarantine(now, out);
     }
 
-    /// Whether what the store tells may still be an old copy.
+    /// Reports whether the store was restored so recently that it may still lack some writes.
     pub(super) fn is_restored(&self, now: Time) -> bool {
         let entered = self.control.restored;
         entered.is_some_and(|at| now.since(at) < RESTORED)
     }
 
-    /// Writes again which contents are held back: the copy may lack them.
-    fn keep_again(&self, now: Time, out: &mut Vec<Effect>) {
-        if self.registry && self.table.leads(DUTY, now) {
+    /// Writes the quarantined contents again, since the restored copy may lack them.
+    fn rewrite_quarantine(&self, now: Time, out: &mut Vec<Effect>) {
+        if self.registry && self.table.leads(REWRITE_DUTY, now) {
             let held = self.quarantine.all_held(now).into_iter();
             out.extend(held.map(Effect::Keep));
         }
     }
 
-    /// Ends the evacuations that the store did not tell again.
+    /// Ends the evacuations that the store did not report again after a restore.
     pub(super) fn expire_evacuations(&mut self, now: Time, out: &mut Vec<Effect>) {
         if self.control.evacuations.expire(now) {
             self.apply_evacuations(now, out);
--- a/src/reducer/heartbeat.rs
+++ b/src/reducer/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats inside a region, who monitors whom, and how boxes meet.
+//! Heartbeats inside a region, the choice of monitors, and the discovery of boxes.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -12,54 +12,57 @@
     wire::{Body, Contact, Heartbeat, Load, Short, Silent},
 };
 
-/// How long a box that others named has to answer a greeting before it is greeted again.
-pub(super) const GREET_AGAIN: Millis = Millis(1000);
-/// A box that knows so few others greets its seeds, and is told all by each of them.
-const FEW: u32 = 3;
-/// Boxes that tell others of all that they know: where every box does, the bytes of a start grow by the cube of
-/// the region.
-const TELLERS: usize = 3;
+/// Time for a box learned from others to answer a greeting before it is greeted again.
+pub(super) const GREETING_RETRY_INTERVAL: Millis = Millis(1000);
+/// A box that knows at most this many others gets the member list from every box that it greets,
+/// since it has only its seeds to ask.
+const FEW_KNOWN_BOXES: u32 = 3;
+/// Boxes that send the member list to a new box. If every box sent it, the bytes of a start would
+/// grow with the cube of the region's size.
+const MEMBER_LIST_SENDERS: usize = 3;
 
 impl<P: Policy> State<P> {
-    /// Sends a heartbeat to every box of the region, known or a seed.
-    pub(super) fn beat(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Sends a heartbeat to every known box and every seed of the region.
+    pub(super) fn broadcast_heartbeat(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mine = &self.table.me.region;
-        let here = |s: &&Seed| match &s.region {
+        let in_region = |s: &&Seed| match &s.region {
             Some(region) => region == mine,
             None => !self.table.is_elsewhere(&s.gossip),
         };
-        let seeds = self.seeds.iter().filter(here);
+        let seeds = self.seeds.iter().filter(in_region);
         let known = self.table.peers().map(|p| p.last.contact.gossip);
         let mut targets: BTreeSet<SocketAddr> = seeds.map(|s| s.gossip).chain(known).collect();
         targets.remove(&self.table.me.gossip);
         self.choose_monitors(now);
-        let (near, far): (Vec<_>, Vec<_>) = targets
+        let (monitors, others): (Vec<_>, Vec<_>) = targets
             .into_iter()
             .partition(|to| self.control.monitors.contains(to));
-        self.send_heartbeat(now, HEARTBEAT, near, out);
+        self.send_heartbeat(now, HEARTBEAT, monitors, out);
         let period = self.table.heartbeat_period();
-        self.control.pace_told = period;
-        self.send_heartbeat(now, period, far, out);
+        self.control.announced_period = period;
+        self.send_heartbeat(now, period, others, out);
     }
 
-    /// Lets the monitors hear this box, and looks after those that it monitors itself.
-    pub(super) fn pulse(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// In a region with long heartbeat periods, sends a heartbeat to the monitors of this box and
+    /// checks the boxes that it monitors itself.
+    pub(super) fn heartbeat_monitors(&mut self, now: Time, out: &mut Vec<Effect>) {
         let period = self.table.heartbeat_period();
         if period <= HEARTBEAT {
             return;
         }
         let before = self.control.monitors.clone();
         self.choose_monitors(now);
-        let left: Vec<SocketAddr> = before.difference(&self.control.monitors).copied().collect();
-        self.send_heartbeat(now, period, left, out);
+        let former: Vec<SocketAddr> = before.difference(&self.control.monitors).copied().collect();
+        self.send_heartbeat(now, period, former, out);
         let monitors = self.control.monitors.clone();
         self.send_heartbeat(now, HEARTBEAT, monitors, out);
         if self.control.is_awake(now) {
-            self.miss_silent(now, out);
+            self.report_silent_boxes(now, out);
         }
     }
 
-    /// Chooses who hears this box often: nobody in a region so small that all do.
+    /// Chooses the boxes that get heartbeats at the shortest period; none in a region so small that
+    /// all boxes get them.
     fn choose_monitors(&mut self, now: Time) {
         let large = self.table.heartbeat_period() > HEARTBEAT;
         let monitors = self.table.monitors(now);
@@ -67,12 +70,13 @@
         self.control.monitors = monitors.filter(|_| large).collect();
     }
 
-    /// Asks the boxes that this one should hear and does not, or tells the region of them.
-    fn miss_silent(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Probes the monitored boxes that are overdue, or reports them to the region.
+    fn report_silent_boxes(&mut self, now: Time, out: &mut Vec<Effect>) {
         for suspicion in self.table.watch_over(now) {
             let others = self.table.live(now).map(|p| p.last.contact.gossip);
             let others = others.filter(|_| suspicion.stage == Stage::Suspected);
-            // It may live after all, and says so then.
+            // The suspected box gets the message as well: if it is alive, it can refute the
+            // suspicion.
             let targets: Vec<SocketAddr> = others.chain([suspicion.gossip]).collect();
             let silent = Silent {
                 name: suspicion.name,
@@ -87,8 +91,14 @@
         }
     }
 
-    /// Believes another box that it does not hear a third one; denies it where it is this one.
-    pub(super) fn hear_silent(&mut self, now: Time, silent: &Silent, out: &mut Vec<Effect>) {
+    /// Handles a report that a box is silent: marks that box as suspected or, if it is this box,
+    /// answers with a heartbeat.
+    pub(super) fn receive_silence_report(
+        &mut self,
+        now: Time,
+        silent: &Silent,
+        out: &mut Vec<Effect>,
+    ) {
         if silent.name != self.table.me.name {
             let Silent {
                 name,
@@ -104,8 +114,8 @@
             let pace = if monitor { HEARTBEAT } else { period };
             return self.send_heartbeat(now, pace, [asker], out);
         }
-        if Control::due(&mut self.control.last_denial, HEARTBEAT, now) {
-            self.beat(now, out);
+        if Control::due(&mut self.control.last_refutation, HEARTBEAT, now) {
+            self.broadcast_heartbeat(now, out);
         }
     }
 
@@ -155,7 +165,7 @@
         }
     }
 
-    /// Boxes of this region that this one hears, or was told of and has greeted.
+    /// Counts the live boxes of this region, and those learned from others that have been greeted.
     fn known_boxes(&self, now: Time) -> u32 {
         let live = self.table.live(now).map(|p| p.last.contact.gossip);
         let live: BTreeSet<SocketAddr> = live.collect();
@@ -163,8 +173,8 @@
         (live.len() + greeted.count()) as u32
     }
 
-    /// Answers a box that just appeared and knows `boxes` others: who is here, where that can be
-    /// news to it, and a heartbeat at once.
+    /// Answers a box that just appeared and knows `boxes` others: sends the member list if it can
+    /// contain new entries, and an immediate heartbeat.
     pub(super) fn greet(
         &mut self,
         now: Time,
@@ -176,8 +186,9 @@
         self.share_holdings(now, to, name, out);
         let contacts = self.table.live(now).map(|p| p.last.contact.clone());
         let contacts: Vec<Contact> = contacts.collect();
-        let tells = boxes <= FEW || self.table.rank_beside(name, now) < TELLERS;
-        if tells && contacts.len() as u32 > boxes {
+        let sends_members =
+            boxes <= FEW_KNOWN_BOXES || self.table.rank_beside(name, now) < MEMBER_LIST_SENDERS;
+        if sends_members && contacts.len() as u32 > boxes {
             let frame = self.frame(Body::Members(contacts));
             out.push(Effect::Gossip { to, frame });
         }
@@ -185,8 +196,8 @@
         self.send_heartbeat(now, period, [to], out);
     }
 
-    /// Greets boxes of this region that another one named.
-    pub(super) fn meet(&mut self, now: Time, contacts: &[Contact], out: &mut Vec<Effect>) {
+    /// Greets unknown boxes of this region that another box listed.
+    pub(super) fn greet_unknown(&mut self, now: Time, contacts: &[Contact], out: &mut Vec<Effect>) {
         let mine = self.table.me.clone();
         let unknown = |c: &&Contact| {
             c.region == mine.region
@@ -201,7 +212,7 @@
         let mut targets = unknown;
         targets.retain(|to| {
             let last = greeted.get(to);
-            last.is_none_or(|at| now.since(*at) >= GREET_AGAIN)
+            last.is_none_or(|at| now.since(*at) >= GREETING_RETRY_INTERVAL)
         });
         greeted.extend(targets.iter().map(|to| (*to, now)));
         let period = self.table.heartbeat_period();
--- a/src/reducer/inventory.rs
+++ b/src/reducer/inventory.rs
@@ -1,8 +1,9 @@
-//! What engines had cached before the boxes knew: after a restart of all boxes nobody can tell them.
+//! Learns what engines had cached before the boxes started: after a restart of all boxes, no other
+//! box knows.
 //!
-//! A box that starts asks its region's engines once, each engine by one box, and tells the others; those that
-//! tell of changes are followed instead.
-//! Long shared parts then are not read again by engines that lack them.
+//! A starting box asks the engines of its region once, each engine being asked by one box, and
+//! broadcasts the answers. Engines that report cache changes are followed instead. This way,
+//! engines that lack a long shared part do not have to read it again.
 
 use std::net::SocketAddr;
 
@@ -18,29 +19,32 @@
     wire::{Body, Holding, Short},
 };
 
-/// How long a new box waits for others to tell it what engines have cached: a greeting and its
-/// answer inside a region.
-pub(super) const LISTEN: Millis = Millis(100);
-/// For how long after its start a box asks engines that it newly hears of: later ones are new.
-const ASK: Millis = Millis(4000);
-/// By when after its start a box knows the boxes of its region.
-pub(super) const MET: Millis = Millis(3000);
-/// Engines that a box asks before it knows the boxes of its region, and how many it looks at for that: by then
-/// each box takes itself for the first in rank. 60 boxes asked 600 engines 36,000 times, and 840 at most with it.
-pub(super) const EARLY: usize = 4;
-/// Engines that a box asks in all: in a large region it may not know the others by then, and would ask most of
-/// their share as well.
-pub(super) const MOST: usize = 16;
+/// Time for other boxes to tell a new one what engines have cached: a greeting and its answer
+/// inside a region.
+pub(super) const LISTEN_DELAY: Millis = Millis(100);
+/// Time after its start in which a box asks engines that it discovers; those that appear later are
+/// new.
+const REQUEST_WINDOW: Millis = Millis(4000);
+/// Time after its start by which a box knows the boxes of its region.
+pub(super) const DISCOVERY_TIME: Millis = Millis(3000);
+/// Maximum engines that a box examines and asks before it knows the boxes of its region: until then
+/// every box ranks itself first. Without this bound, 60 boxes asked 600 engines 36,000 times; with
+/// it, 840 times at most.
+pub(super) const MAX_EARLY_ENGINES: usize = 4;
+/// Maximum engines that a box asks in total. In a large region it may not know all other boxes by
+/// then, and would ask most of their share as well.
+pub(super) const MAX_ENGINES: usize = 16;
 
 impl<P: Policy> State<P> {
-    /// Asks the engines of this region that nobody has told anything of.
-    pub(super) fn ask_caches(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Requests the cache content of the engines of this region of which nothing is known.
+    pub(super) fn request_inventories(&mut self, now: Time, out: &mut Vec<Effect>) {
         let age = now.since(Time(0));
-        if !self.registry || !self.supplied || age < LISTEN || age > ASK {
+        if !self.registry || !self.supplied || age < LISTEN_DELAY || age > REQUEST_WINDOW {
             return;
         }
-        // Nothing more goes out until then, and thousands of engines need not be ranked at each tick.
-        if age < MET && self.asked.len() >= EARLY {
+        // No more requests may be sent until then, and ranking thousands of engines at each tick is
+        // avoided.
+        if age < DISCOVERY_TIME && self.asked.len() >= MAX_EARLY_ENGINES {
             return;
         }
         let Some(config) = self.config.clone() else {
@@ -52,36 +56,37 @@
             .filter(|(_, p)| p.engine.is_some_and(|e| e.watchers == 0));
         for (service, _) in engines {
             let backends = self.fleet.serving(service, &self.table.me.region);
-            let unknown = backends.filter(|b| self.is_unknown(now, b));
+            let unknown = backends.filter(|b| self.needs_inventory(now, b));
             let mut unknown: Vec<(id::Backend, SocketAddr)> =
                 unknown.map(|b| (b.name.clone(), b.address)).collect();
-            if age < MET {
-                let mine = |(name, _): &(id::Backend, SocketAddr)| {
+            if age < DISCOVERY_TIME {
+                let by_rank = |(name, _): &(id::Backend, SocketAddr)| {
                     std::cmp::Reverse(weight(&self.table.me.name, name.as_str()))
                 };
-                unknown.sort_by_cached_key(mine);
-                unknown.truncate(EARLY.saturating_sub(self.asked.len()));
+                unknown.sort_by_cached_key(by_rank);
+                unknown.truncate(MAX_EARLY_ENGINES.saturating_sub(self.asked.len()));
             }
             for (backend, address) in unknown {
-                // Who else's duty it is need not be found out again.
+                // An engine that another box is responsible for need not be ranked again.
                 self.asked.insert(backend.clone());
-                let left = self.control.inventories < MOST;
+                let left = self.control.inventory_requests < MAX_ENGINES;
                 if left && self.table.leads(backend.as_str(), now) {
-                    self.control.inventories += 1;
+                    self.control.inventory_requests += 1;
                     out.push(Effect::Inventory { backend, address });
                 }
             }
         }
     }
 
-    /// Whether nobody has told anything of `engine`; a cold one has nothing and may bear no call.
-    fn is_unknown(&self, now: Time, engine: &Backend) -> bool {
+    /// Reports whether nothing is known of the cache of `engine` and it may be asked: a cold one
+    /// has cached nothing and may not withstand the call.
+    fn needs_inventory(&self, now: Time, engine: &Backend) -> bool {
         let known = self.cache.knows(Short::of(engine.name.as_str()));
-        let busy = engine.leaving || self.fleet.is_cold(&engine.name, now);
-        !known && !busy && !self.asked.contains(&engine.name)
+        let unavailable = engine.leaving || self.fleet.is_cold(&engine.name, now);
+        !known && !unavailable && !self.asked.contains(&engine.name)
     }
 
-    /// Takes in what an engine has cached, and tells the boxes here and in the other regions.
+    /// Records what an engine has cached, and broadcasts it to this and the other regions.
     pub(super) fn learn_cached(
         &mut self,
         now: Time,
@@ -101,10 +106,11 @@
             return;
         }
         self.learn_holdings(now, &holdings);
-        let near = self.table.live(now).map(|p| p.last.contact.gossip);
+        let local = self.table.live(now).map(|p| p.last.contact.gossip);
         let remotes = self.table.reachable(now);
-        let far = remotes.flat_map(|(_, r)| r.digest.doors.iter().map(|d| d.contact.gossip));
-        let targets: Vec<SocketAddr> = near.chain(far).collect();
+        let remote_doors =
+            remotes.flat_map(|(_, r)| r.digest.doors.iter().map(|d| d.contact.gossip));
+        let targets: Vec<SocketAddr> = local.chain(remote_doors).collect();
         for to in targets {
             let frame = self.frame(Body::Holdings(holdings.clone()));
             out.push(Effect::Gossip { to, frame });
--- a/src/reducer/moving/mod.rs
+++ b/src/reducer/moving/mod.rs
@@ -1,8 +1,9 @@
-//! Runs that go on at another engine, with their memory, when the engine that runs them leaves.
+//! Moves runs, together with their memory, to another engine when the engine that runs them leaves.
 //!
-//! The box that holds the request decides and owns the copy. A first copy is made while the run
-//! goes on; then the run is stopped, the rest is copied, and the request goes on with the copy within
-//! the same answer. It is sent nowhere before the engine says that the run is stopped.
+//! The box that handles the request decides, and owns the copy. A first copy is made while the run
+//! continues; then the run is stopped, the rest is copied, and the request resumes from the copy
+//! within the same answer. It is not sent elsewhere until the engine has confirmed that the run is
+//! stopped.
 
 mod choice;
 mod transfer;
@@ -23,17 +24,17 @@
     verdict::Verdict,
 };
 
-use transfer::{Seat, Step};
+use transfer::{Destination, Step};
 pub(super) use transfer::{Stream, Transfer};
 
-/// Calls for one run: a first copy, the last, and once more where an answer was lost.
+/// Calls for one run: a first copy, the final one, and one retry if an answer was lost.
 const MAX_CALLS: u32 = 3;
-/// How long after it was heard that an engine leaves a stopped run may go back to it: a leaving
-/// server takes requests for a short while only.
-const RETURN: Millis = Millis(1500);
+/// Time after an engine's departure became known in which a stopped run may return to it: a leaving
+/// server accepts requests only for a short while.
+const RETURN_WINDOW: Millis = Millis(1500);
 
 impl<P: Policy> State<P> {
-    /// Moves what is worth most off the engines of this region that leave.
+    /// Moves the most valuable runs off the engines of this region that leave.
     pub(super) fn move_runs(&mut self, now: Time, out: &mut Vec<Effect>) {
         let ending = self.fleet.ending();
         let ending: Vec<(id::Backend, fleet::End)> = ending
@@ -45,10 +46,10 @@
         }
     }
 
-    /// Calls again where the answer to the call that stops a run was lost.
-    pub(super) fn call_again(&mut self, now: Time, out: &mut Vec<Effect>) {
-        for request in self.due_runs() {
-            self.call(now, request, out);
+    /// Repeats the call that stops a run where it is due.
+    pub(super) fn retry_calls(&mut self, now: Time, out: &mut Vec<Effect>) {
+        for request in self.runs_to_stop() {
+            self.request_copy(now, request, out);
         }
     }
 
@@ -60,7 +61,7 @@
         out: &mut Vec<Effect>,
     ) {
         for request in self.runs_to_move(now, source, end.at) {
-            let Some((from, to)) = self.refuge(now, request, source) else {
+            let Some((from, to)) = self.choose_target(now, request, source) else {
                 continue;
             };
             let Some(job) = self.jobs.get_mut(&request) else {
@@ -68,12 +69,13 @@
             };
             job.refuges.push(to.name.clone());
             job.transfer = Some(Transfer::new(from, to, now));
-            self.call(now, request, out);
+            self.request_copy(now, request, out);
         }
     }
 
-    /// Asks the engine that runs a request to copy its memory, and to stop it where a copy stands.
-    fn call(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
+    /// Asks the engine that runs a request to copy its memory and, once a first copy exists, to
+    /// stop the run.
+    fn request_copy(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
@@ -82,7 +84,7 @@
             return;
         };
         let last = match transfer.step {
-            Step::Due(stream) => {
+            Step::StopPending(stream) => {
                 transfer.calls += 1;
                 transfer.enter(Step::Stopping(stream), now);
                 true
@@ -103,7 +105,7 @@
         }));
     }
 
-    /// Takes in what came of a call.
+    /// Handles the result of a call.
     pub(super) fn moved(
         &mut self,
         now: Time,
@@ -118,7 +120,7 @@
         let calling = |t: &&mut Transfer| t.is_calling() && t.source.address == from;
         let transfer = job.and_then(|job| job.transfer.as_mut()).filter(calling);
         let Some(transfer) = transfer else {
-            // Its request ended meanwhile, and nobody else owns the copy.
+            // The request has ended in the meantime, so nothing else would free the copy.
             let origin = |handle| Origin {
                 address: from,
                 handle,
@@ -128,8 +130,8 @@
         };
         let source = transfer.source.name.clone();
         match transfer.step {
-            Step::Copying => self.copied(now, request, result, out),
-            Step::Stopping(stream) => self.stopped(now, request, stream, result, out),
+            Step::Copying => self.handle_first_copy(now, request, result, out),
+            Step::Stopping(stream) => self.handle_stop(now, request, stream, result, out),
             _ => {}
         }
         let end = self.fleet.ending().find(|(name, _)| **name == source);
@@ -138,8 +140,14 @@
         }
     }
 
-    /// Takes in what came of the first copy, while the run went on.
-    fn copied(&mut self, now: Time, request: id::Request, result: Moved, out: &mut Vec<Effect>) {
+    /// Handles the result of the first copy, made while the run continued.
+    fn handle_first_copy(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        result: Moved,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
@@ -153,13 +161,13 @@
         };
         if let Some(transfer) = &mut job.transfer {
             transfer.handle = Some(handle);
-            transfer.enter(Step::Due(Stream::Open), now);
+            transfer.enter(Step::StopPending(Stream::Open), now);
         }
-        self.call(now, request, out);
+        self.request_copy(now, request, out);
     }
 
-    /// Takes in what came of the call that stops the run.
-    fn stopped(
+    /// Handles the result of the call that stops the run.
+    fn handle_stop(
         &mut self,
         now: Time,
         request: id::Request,
@@ -177,12 +185,13 @@
         match (result, stream) {
             (Moved::Copied { handle, .. }, _) => {
                 transfer.handle = Some(handle);
-                self.go_on(now, request, Seat::Target, out);
+                self.resume(now, request, Destination::Target, out);
             }
             (Moved::Kept(handle), _) => {
                 transfer.handle = Some(handle);
-                // The source lacks nothing; the target may hold all but the newest part.
-                self.go_on(now, request, Seat::Source, out);
+                // The source still has the whole memory, whereas the target may lack the newest
+                // part.
+                self.resume(now, request, Destination::Source, out);
             }
             (Moved::Absent, Stream::Closed) => {
                 out.extend(job.end_transfer(request, End::Ended));
@@ -190,20 +199,26 @@
             }
             (Moved::Absent, Stream::Open) => transfer.enter(Step::Ended, now),
             (Moved::Busy | Moved::Lost | Moved::Refused, _) if again => {
-                transfer.enter(Step::Due(stream), now);
+                transfer.enter(Step::StopPending(stream), now);
             }
             (_, Stream::Open) => transfer.enter(Step::Unknown, now),
             (_, Stream::Cut | Stream::Closed) => {
                 transfer.enter(Step::Unknown, now);
-                self.break_off(now, request, attempt, out);
+                self.fail_broken(now, request, attempt, out);
             }
         }
     }
 
-    /// Sends a request whose run is stopped to where it goes on with the copy.
-    fn go_on(&mut self, now: Time, request: id::Request, seat: Seat, out: &mut Vec<Effect>) {
-        let Some(seat) = self.seat(now, request, seat) else {
-            return self.no_seat(now, request, out);
+    /// Sends a request whose run is stopped to the engine where it resumes from the copy.
+    fn resume(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        destination: Destination,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(destination) = self.choose_destination(now, request, destination) else {
+            return self.fail_stopped(now, request, out);
         };
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
@@ -211,23 +226,23 @@
         let (Some(attempt), Some(transfer)) = (job.attempt(), job.transfer.as_mut()) else {
             return;
         };
-        transfer.enter(Step::Stopped(seat), now);
-        let site = match seat {
-            Seat::Target => &transfer.target,
-            Seat::Source => &transfer.source,
+        transfer.enter(Step::Stopped(destination), now);
+        let site = match destination {
+            Destination::Target => &transfer.target,
+            Destination::Source => &transfer.source,
         };
         let place = Place::Backend(site.name.clone());
         if let Some(held) = self.in_hand(request, attempt) {
             self.release(&held, None);
         }
-        self.send_on(now, request, seat, place, out);
+        self.send_to_resume(now, request, destination, place, out);
     }
 
-    fn send_on(
+    fn send_to_resume(
         &mut self,
         now: Time,
         request: id::Request,
-        seat: Seat,
+        destination: Destination,
         place: Place,
         out: &mut Vec<Effect>,
     ) {
@@ -243,44 +258,51 @@
         self.send(now, request, place, basis, out);
         let job = self.jobs.get_mut(&request);
         if let Some(transfer) = job.and_then(|job| job.transfer.as_mut()) {
-            transfer.enter(Step::Sent(seat), now);
+            transfer.enter(Step::Sent(destination), now);
         }
     }
 
-    /// Where a stopped run may go on: at `wanted`, or at the other of the two.
-    fn seat(&self, now: Time, request: id::Request, wanted: Seat) -> Option<Seat> {
+    /// Returns where a stopped run may resume: at `wanted` or at the other of the two engines.
+    fn choose_destination(
+        &self,
+        now: Time,
+        request: id::Request,
+        wanted: Destination,
+    ) -> Option<Destination> {
         let transfer = self.jobs.get(&request)?.transfer.as_ref()?;
         let target = self.fleet.get(&transfer.target.name);
         let target = target.is_some_and(|b| {
             b.address == transfer.target.address && !self.evacuated.contains(&b.domain)
         });
-        let source = self.takes_back(now, &transfer.source.name);
+        let source = self.accepts_return(now, &transfer.source.name);
         match wanted {
-            Seat::Target if target => Some(Seat::Target),
-            _ if source => Some(Seat::Source),
-            _ => target.then_some(Seat::Target),
+            Destination::Target if target => Some(Destination::Target),
+            _ if source => Some(Destination::Source),
+            _ => target.then_some(Destination::Target),
         }
     }
 
-    /// Whether an engine that leaves may still get a run back.
-    fn takes_back(&self, now: Time, source: &id::Backend) -> bool {
+    /// Reports whether a leaving engine may still get a run back.
+    fn accepts_return(&self, now: Time, source: &id::Backend) -> bool {
         let known = self.fleet.get(source);
-        let outside = known.is_none_or(|b| self.evacuated.contains(&b.domain));
+        let unavailable = known.is_none_or(|b| self.evacuated.contains(&b.domain));
         let mut ending = self.fleet.ending();
         let end = ending.find(|(name, _)| *name == source);
-        !outside && end.is_some_and(|(_, end)| now < end.at && now.since(end.heard) < RETURN)
+        !unavailable
+            && end.is_some_and(|(_, end)| now < end.at && now.since(end.heard) < RETURN_WINDOW)
     }
 
-    /// Gives up a stopped run that may go on nowhere.
-    fn no_seat(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
+    /// Fails a stopped run that cannot resume anywhere.
+    fn fail_stopped(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
         let attempt = self.jobs.get(&request).and_then(|job| job.attempt());
         if let Some(attempt) = attempt {
-            self.break_off(now, request, attempt, out);
+            self.fail_broken(now, request, attempt, out);
         }
     }
 
-    /// Lets a stream whose run is over go on as one that was cut: anew where it may, else not at all.
-    fn break_off(
+    /// Fails the attempt as if its stream had been cut, so that the request is retried from the
+    /// start only if that is allowed.
+    fn fail_broken(
         &mut self,
         now: Time,
         request: id::Request,
@@ -291,7 +313,8 @@
         self.failed(now, request, attempt, verdict, Cause::Broken, out);
     }
 
-    /// Notes that the connection of a stream ended whose run is to be stopped; false where it is not.
+    /// Records that the connection of a stream ended while its run was to be stopped; returns false
+    /// if no stop is pending or under way.
     pub(super) fn await_move(
         &mut self,
         request: id::Request,
@@ -306,14 +329,14 @@
             return false;
         };
         transfer.step = match transfer.step {
-            Step::Due(_) if transfer.calls > 1 => Step::Due(stream),
+            Step::StopPending(_) if transfer.calls > 1 => Step::StopPending(stream),
             Step::Stopping(_) => Step::Stopping(stream),
             _ => return false,
         };
         true
     }
 
-    /// Notes that the connection of a stream closed while its run was to be stopped.
+    /// Handles the close of a stream's connection while its run was to be stopped.
     pub(super) fn closed(
         &mut self,
         now: Time,
@@ -334,11 +357,12 @@
             out.extend(job.end_transfer(request, End::Ended));
             out.push(Effect::Close { request, attempt });
         } else {
-            self.break_off(now, request, attempt, out);
+            self.fail_broken(now, request, attempt, out);
         }
     }
 
-    /// Sends a run that the other engine did not take back to the one that keeps its memory, once.
+    /// Returns a run that the target did not accept to the source, which still has its memory,
+    /// once.
     pub(super) fn go_back(
         &mut self,
         now: Time,
@@ -350,8 +374,8 @@
         let Some(transfer) = job.and_then(|job| job.transfer.as_ref()) else {
             return false;
         };
-        let refused = transfer.step == Step::Sent(Seat::Target) && verdict.is_not_run();
-        if !refused || !self.takes_back(now, &transfer.source.name) {
+        let refused = transfer.step == Step::Sent(Destination::Target) && verdict.is_not_run();
+        if !refused || !self.accepts_return(now, &transfer.source.name) {
             return false;
         }
         let place = Place::Backend(transfer.source.name.clone());
@@ -360,14 +384,14 @@
             .get_mut(&request)
             .and_then(|j| j.transfer.as_mut())
         {
-            transfer.enter(Step::Stopped(Seat::Source), now);
+            transfer.enter(Step::Stopped(Destination::Source), now);
         }
-        self.send_on(now, request, Seat::Source, place, out);
+        self.send_to_resume(now, request, Destination::Source, place, out);
         true
     }
 
-    /// Ends the move of a run that failed; returns what is known of the request's run. One that went
-    /// on nowhere with its copy has run all the same.
+    /// Ends the move of a run that failed, and returns the verdict for the request. A request whose
+    /// resumed attempt was refused has still run at the source.
     pub(super) fn lose_copy(
         &mut self,
         request: id::Request,
@@ -382,7 +406,7 @@
         };
         let sent = matches!(transfer.step, Step::Sent(_));
         let end = match transfer.step {
-            Step::Copying | Step::Due(_) => End::Refused,
+            Step::Copying | Step::StopPending(_) => End::Refused,
             _ => End::Lost,
         };
         out.extend(job.end_transfer(request, end));
--- a/src/reducer/moving/transfer.rs
+++ b/src/reducer/moving/transfer.rs
@@ -1,4 +1,4 @@
-//! One run on its way to another engine.
+//! The move of one run to another engine.
 
 use crate::{
     id,
@@ -10,54 +10,54 @@
     unit::Time,
 };
 
-/// How the connection that brings a stream stands while its run is to be stopped.
+/// The state of the connection that carries a stream while its run is to be stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum Stream {
     Open,
-    /// It broke.
+    /// The connection broke.
     Cut,
-    /// It closed, which may be the end of the answer.
+    /// The connection closed, which may be the end of the answer.
     Closed,
 }
 
-/// How far a move has come.
+/// The progress of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum Step {
-    /// A first copy is made while the run goes on.
+    /// A first copy is being made while the run continues.
     Copying,
-    /// The run is to be stopped; no call is under way.
-    Due(Stream),
-    /// The call is under way that stops the run and copies the rest.
+    /// The run is to be stopped; no call is in flight.
+    StopPending(Stream),
+    /// The call that stops the run and copies the rest is in flight.
     Stopping(Stream),
-    /// The run is stopped; the request goes on with the copy next.
-    Stopped(Seat),
-    /// The request was sent to go on.
-    Sent(Seat),
-    /// The run ended by itself; the end of its stream is on the way.
+    /// The run is stopped; the request will resume from the copy.
+    Stopped(Destination),
+    /// The request was sent to resume.
+    Sent(Destination),
+    /// The run ended on its own; the end of its stream has not arrived yet.
     Ended,
-    /// Whether the run was stopped is not known.
+    /// It is unknown whether the run was stopped.
     Unknown,
 }
 
-/// Where a stopped run goes on.
+/// The engine at which a stopped run resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::reducer) enum Seat {
+pub(in crate::reducer) enum Destination {
     Target,
     Source,
 }
 
-/// A run on its way.
+/// The move of a run between two engines.
 #[derive(Clone, Debug)]
 pub(in crate::reducer) struct Transfer {
     pub(super) source: Site,
     pub(super) target: Site,
     pub(super) step: Step,
-    /// The copy, once there is one.
+    /// The handle of the copy, once there is one.
     pub(super) handle: Option<Handle>,
     pub(super) calls: u32,
-    since: Time,
-    /// When its step changed last.
-    at: Time,
+    started: Time,
+    /// When the step last changed.
+    step_changed: Time,
 }
 
 impl Transfer {
@@ -68,22 +68,22 @@
             step: Step::Copying,
             handle: None,
             calls: 1,
-            since: now,
-            at: now,
+            started: now,
+            step_changed: now,
         }
     }
 
     pub(super) fn enter(&mut self, step: Step, now: Time) {
         self.step = step;
-        self.at = now;
+        self.step_changed = now;
     }
 
-    /// Whether a call is under way.
+    /// Reports whether a call is in flight.
     pub(super) fn is_calling(&self) -> bool {
         matches!(self.step, Step::Copying | Step::Stopping(_))
     }
 
-    /// Whether the engine that gets the copy keeps a slot for it.
+    /// Reports whether a slot of the engine `name` is reserved for this run.
     pub(super) fn reserves(&self, name: &id::Backend) -> bool {
         let open = !matches!(self.step, Step::Sent(_) | Step::Ended | Step::Unknown);
         open && self.target.name == *name
@@ -96,22 +96,22 @@
         })
     }
 
-    fn carried(&self, request: id::Request, tokens: u32, end: End) -> Effect {
+    fn completion(&self, request: id::Request, tokens: u32, end: End) -> Effect {
         Effect::Carried(Carried {
             request,
             from: self.source.name.clone(),
             to: self.target.name.clone(),
             end,
-            took: self.at.since(self.since),
+            took: self.step_changed.since(self.started),
             calls: self.calls,
             tokens,
         })
     }
 
-    /// How it ended, where the request goes no further.
+    /// Returns the outcome of a move whose request ends in the current step.
     fn end(&self) -> End {
         match self.step {
-            Step::Copying | Step::Due(_) | Step::Stopping(_) => End::Left,
+            Step::Copying | Step::StopPending(_) | Step::Stopping(_) => End::Left,
             Step::Ended => End::Ended,
             Step::Stopped(_) | Step::Sent(_) | Step::Unknown => End::Lost,
         }
@@ -119,7 +119,7 @@
 }
 
 impl Job {
-    /// Where the run goes on from that was stopped.
+    /// Returns the copy from which the stopped run resumes.
     pub(in crate::reducer) fn origin(&self) -> Option<Origin> {
         let transfer = self.transfer.as_ref()?;
         matches!(transfer.step, Step::Stopped(_))
@@ -127,53 +127,54 @@
             .flatten()
     }
 
-    /// Whether the run is being stopped: its stream is silent for that.
+    /// Reports whether the run is being stopped or resumed, so that its stream is expected to be
+    /// silent.
     pub(in crate::reducer) fn is_stopping(&self) -> bool {
         self.transfer.as_ref().is_some_and(|t| match t.step {
-            Step::Due(_) => t.calls > 1,
+            Step::StopPending(_) => t.calls > 1,
             Step::Stopping(_) | Step::Stopped(_) | Step::Sent(_) => true,
             Step::Copying | Step::Ended | Step::Unknown => false,
         })
     }
 
-    /// Notes that the answer goes on; tells of the move that ends with it.
+    /// Records that the answer continues; returns the effect that reports the completed move.
     pub(in crate::reducer) fn arrive(&mut self, request: id::Request, now: Time) -> Option<Effect> {
         let sent = |t: &mut Transfer| matches!(t.step, Step::Sent(_));
         let mut transfer = self.transfer.take_if(sent)?;
-        let Step::Sent(seat) = transfer.step else {
+        let Step::Sent(destination) = transfer.step else {
             return None;
         };
-        transfer.at = now;
-        let end = match seat {
-            Seat::Target => End::There,
-            Seat::Source => End::Back,
+        transfer.step_changed = now;
+        let end = match destination {
+            Destination::Target => End::There,
+            Destination::Source => End::Back,
         };
-        Some(transfer.carried(request, self.tokens(), end))
+        Some(transfer.completion(request, self.tokens(), end))
     }
 
-    /// Gives up the copy of a run that goes no further; what a call that is under way still copies
-    /// is freed when it is heard of.
+    /// Frees the copy of a run that ends here. A copy still being made by a call in flight is freed
+    /// when the call's result arrives.
     pub(in crate::reducer) fn drop_copy(&mut self, request: id::Request) -> Vec<Effect> {
         let end = self.transfer.as_ref().map(Transfer::end);
         end.map_or(vec![], |end| self.end_transfer(request, end))
     }
 
-    /// The same, where it is known how the move ended.
+    /// Ends the move with the outcome `end`, freeing its copy.
     pub(super) fn end_transfer(&mut self, request: id::Request, end: End) -> Vec<Effect> {
         let Some(transfer) = self.transfer.take() else {
             return vec![];
         };
-        let told = transfer.carried(request, self.tokens(), end);
+        let report = transfer.completion(request, self.tokens(), end);
         let free = transfer.origin().map(Effect::Free);
-        free.into_iter().chain([told]).collect()
+        free.into_iter().chain([report]).collect()
     }
 
-    /// Tokens of its prompt.
+    /// Returns the number of tokens in the prompt.
     pub(super) fn tokens(&self) -> u32 {
         self.prompt.as_ref().map_or(0, |prompt| prompt.tokens)
     }
 
-    /// The engine's stream that brings the answer, where it has begun.
+    /// Returns the current attempt, once the request was sent.
     pub(super) fn attempt(&self) -> Option<id::Attempt> {
         match &self.stage {
             Stage::Sent { attempt, .. } => Some(*attempt),
--- a/src/reducer/naming.rs
+++ b/src/reducer/naming.rs
@@ -1,9 +1,10 @@
-//! How often a look-up names each box of its region: a caller chooses at random among what is named.
+//! Decides how often a lookup lists each box of its region, given that a caller picks at random
+//! from the list.
 //!
-//! The boxes lie on a line, each as long as its weight, and [`NAMED`] points at even distances name those
-//! that they fall on. So each is named in proportion to its weight, twice at most once more or less than
-//! that, and the same look-up names the same boxes until their weights change: callers leave the connections
-//! to a box that is no longer named.
+//! The boxes are laid end to end on a line, each as long as its weight, and [`MAX_ENTRIES`]
+//! equidistant points select the boxes that they fall on. Each box is thus listed in proportion to
+//! its weight, to within one entry. A repeated lookup returns the same list until the weights
+//! change, because callers drop their connections to a box that is no longer listed.
 
 use crate::{
     member::weight,
@@ -13,36 +14,36 @@
     unit::Time,
 };
 
-/// Most addresses that an answer may hold.
-const NAMED: usize = 64;
-/// A box counts at least with this part of the largest one's weight, so that callers who lose the large
-/// ones, or the failure domain that holds them, know enough others.
-const LEAST: f64 = 1.0 / 16.0;
-/// Full boxes are left out only where the others hold this part of the region's weight.
-const REMAINING: f64 = 0.5;
+/// Maximum addresses in an answer.
+const MAX_ENTRIES: usize = 64;
+/// Minimum weight with which a box counts, as a fraction of the largest one's, so that callers who
+/// lose the large boxes, or the failure domain that holds them, know enough others.
+const MIN_WEIGHT_FRACTION: f64 = 1.0 / 16.0;
+/// Full boxes are left out only if the others hold this fraction of the region's weight.
+const MIN_REMAINING_FRACTION: f64 = 0.5;
 
-/// A box to be named.
-struct Named {
+/// A candidate for the list.
+struct Candidate {
     entry: Entry,
     room: Room,
     weight: f64,
 }
 
 impl<P: Policy> State<P> {
-    /// Of `boxes` of one region those that a look-up names, and how often, by their weights; as they are where
-    /// all weigh the same.
-    pub(super) fn share_out(&self, now: Time, boxes: Vec<Entry>) -> Vec<Entry> {
+    /// Returns the boxes that a lookup lists, each repeated by its weight, out of the `boxes` of
+    /// one region. The list is returned unchanged if all weights are equal.
+    pub(super) fn weight_entries(&self, now: Time, boxes: Vec<Entry>) -> Vec<Entry> {
         let usual = self.table.usual_weight(now);
-        let named = |entry: Entry| {
+        let candidate = |entry: Entry| {
             let room = self.table.room_of(&entry.contact);
             let weight = f64::from(room.weight.unwrap_or(usual).number());
-            Named {
+            Candidate {
                 entry,
                 room,
                 weight,
             }
         };
-        let boxes: Vec<Named> = boxes.into_iter().map(named).collect();
+        let boxes: Vec<Candidate> = boxes.into_iter().map(candidate).collect();
         let largest = boxes.iter().map(|b| b.weight).fold(0.0, f64::max);
         if boxes.iter().all(|b| b.weight == largest) {
             return boxes.into_iter().map(|b| b.entry).collect();
@@ -50,35 +51,37 @@
         let boxes = without_full(boxes);
         let lengths: Vec<f64> = boxes
             .iter()
-            .map(|b| b.weight.max(largest * LEAST))
+            .map(|b| b.weight.max(largest * MIN_WEIGHT_FRACTION))
             .collect();
-        // Boxes that are named less than once are named by some of the others.
-        let start = weight(&self.table.me.name, "naming") as f64 / u64::MAX as f64;
-        let counts = points(&lengths, start);
-        let repeat = |(named, count): (Named, usize)| std::iter::repeat_n(named.entry, count);
+        // Offsets differ between boxes, so that a box too small to be listed by all of them is
+        // listed by some.
+        let offset = weight(&self.table.me.name, "naming") as f64 / u64::MAX as f64;
+        let counts = count_points(&lengths, offset);
+        let repeat =
+            |(candidate, count): (Candidate, usize)| std::iter::repeat_n(candidate.entry, count);
         boxes.into_iter().zip(counts).flat_map(repeat).collect()
     }
 }
 
-/// Leaves full boxes out, where enough is left without them.
-fn without_full(boxes: Vec<Named>) -> Vec<Named> {
+/// Removes full boxes if enough weight remains without them.
+fn without_full(boxes: Vec<Candidate>) -> Vec<Candidate> {
     let all: f64 = boxes.iter().map(|b| b.weight).sum();
     let free = boxes.iter().filter(|b| !b.room.full);
-    let enough = free.map(|b| b.weight).sum::<f64>() >= all * REMAINING;
-    let stays = |b: &Named| !enough || !b.room.full;
+    let enough = free.map(|b| b.weight).sum::<f64>() >= all * MIN_REMAINING_FRACTION;
+    let stays = |b: &Candidate| !enough || !b.room.full;
     boxes.into_iter().filter(stays).collect()
 }
 
-/// How many of [`NAMED`] points at even distances fall on each of `lengths`, laid end to end; the first one lies
-/// at the part `start` of the distance.
-fn points(lengths: &[f64], start: f64) -> Vec<usize> {
-    let distance = lengths.iter().sum::<f64>() / NAMED as f64;
-    let before = |end: f64| (end / distance - start).ceil().max(0.0) as usize;
+/// Returns how many of [`MAX_ENTRIES`] equidistant points fall on each of `lengths`, laid end to
+/// end. The first point is at `offset`, as a fraction of the distance between points.
+fn count_points(lengths: &[f64], offset: f64) -> Vec<usize> {
+    let distance = lengths.iter().sum::<f64>() / MAX_ENTRIES as f64;
+    let before = |end: f64| (end / distance - offset).ceil().max(0.0) as usize;
     let (mut end, mut counted) = (0.0, 0);
     let mut counts = Vec::with_capacity(lengths.len());
     for length in lengths {
         end += length;
-        let until = before(end).min(NAMED);
+        let until = before(end).min(MAX_ENTRIES);
         counts.push(until - counted);
         counted = until;
     }
--- a/src/reducer/news.rs
+++ b/src/reducer/news.rs
@@ -1,10 +1,11 @@
-//! Who follows the platform's store, and how its news reaches the boxes that don't.
+//! Decides which boxes follow the platform's store, and forwards its changes to those that don't.
 //!
-//! Load pattern: hundreds of boxes before one store. Where each follows the store by itself, its calls
-//! grow as boxes times changes: 9,364 in a day at 295 boxes, which cost 0.066 of the day's worth. So in
-//! a large region only the hubs of each failure domain follow it, and pass each change on at once, with
-//! the store's revision before and after it. A box that misses some asks the hub for all. A box that
-//! hears of no hub with fresh word follows the store itself, within the shortest bound on news.
+//! Load pattern: hundreds of boxes use one store. If each followed it directly, the calls would
+//! grow with boxes times changes: 9,364 in a day at 295 boxes, which cost 0.066 of the day's value.
+//! In a large region, therefore, only the hubs of each failure domain follow it, and forward each
+//! change at once with the store's revision before and after it. A box that missed changes fetches
+//! them from the hub. A box that hears of no hub with a recent answer from the store follows the
+//! store itself, within the shortest bound on the age of its data.
 
 use std::net::SocketAddr;
 
@@ -21,34 +22,34 @@
     wire::{Body, News, Phase, Word},
 };
 
-/// Word of the store older than this, as a hub tells it, is not enough: a hub asks each second, and the
-/// box must have read the store by itself within 3 s, the shortest bound on news.
-const WORD_FRESH: Millis = Millis(2000);
-/// How often a box asks a hub for all because it missed something.
-const AGAIN: Millis = Millis(300);
+/// Maximum age of a hub's last answer from the store. A hub asks the store every second, and a box
+/// must have read the store itself within 3 s, the shortest bound on the age of its data.
+const MAX_HUB_REPORT_AGE: Millis = Millis(2000);
+/// Minimum time between two requests to a hub for missed changes.
+const FETCH_RETRY_INTERVAL: Millis = Millis(300);
 
-/// The store's changes since the last revision that was passed on.
+/// Changes from the store since the last revision that was forwarded.
 #[derive(Debug, Default)]
-pub(super) struct Gathered {
+pub(super) struct PendingChanges {
     changes: Vec<Change>,
-    /// Whether everything was read anew, so that the changes alone don't tell all.
-    whole: bool,
+    /// Whether a full list was read, so that `changes` alone is incomplete.
+    has_list: bool,
 }
 
 impl<P: Policy> State<P> {
-    /// Begins or ends to follow the store.
-    pub(super) fn choose_follow(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Starts or stops following the store.
+    pub(super) fn update_follow_mode(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.registry {
             return;
         }
-        let follow = self.follow(now);
+        let follow = self.follow_mode(now);
         if follow != self.control.follow {
             self.control.follow = follow;
             out.push(Effect::Follow(follow));
         }
     }
 
-    fn follow(&self, now: Time) -> Follow {
+    fn follow_mode(&self, now: Time) -> Follow {
         if !self.table.has_hubs() {
             return Follow::Alone;
         }
@@ -56,95 +57,99 @@
         if self.table.hubs(ready, now).mine {
             return Follow::Hub;
         }
-        let fresh = |at: Time| now.since(at) <= WORD_FRESH;
-        match self.control.word_heard.is_some_and(fresh) {
+        let fresh = |at: Time| now.since(at) <= MAX_HUB_REPORT_AGE;
+        match self.control.hub_heard_store.is_some_and(fresh) {
             true => Follow::Rest,
             false => Follow::Alone,
         }
     }
 
-    /// Keeps a change that the store told for the boxes that don't follow it: this one may be a hub by the
-    /// end of the batch, and each batch's end clears what was kept.
+    /// Records a change from the store for the boxes that don't follow it. Every box records them,
+    /// since it may be a hub by the end of the batch; each end of a batch clears the record.
     pub(super) fn gather(&mut self, change: &Change) {
         match change {
-            Change::List { .. } => self.control.gathered.whole = true,
-            change => self.control.gathered.changes.push(change.clone()),
+            Change::List { .. } => self.control.pending_changes.has_list = true,
+            change => self.control.pending_changes.changes.push(change.clone()),
         }
     }
 
-    /// As a hub, passes on what the store told up to `until`.
+    /// As a hub, forwards the store's changes up to `until`.
     pub(super) fn pass_news(&mut self, now: Time, until: Revision, out: &mut Vec<Effect>) {
-        let gathered = std::mem::take(&mut self.control.gathered);
+        let pending_changes = std::mem::take(&mut self.control.pending_changes);
         if self.control.follow != Follow::Hub || until <= self.revision {
             return;
         }
-        let news = News {
-            since: (!gathered.whole).then_some(self.revision),
+        let update = News {
+            since: (!pending_changes.has_list).then_some(self.revision),
             until,
-            changes: gathered.changes,
-            evacuated: self.control.evacuations.told.clone(),
+            changes: pending_changes.changes,
+            evacuated: self.control.evacuations.reported.clone(),
             rollouts: self.rollouts.tell(now),
         };
         let targets = self.table.neighbours(now);
-        self.send_all(Body::News(news), targets, out);
+        self.send_all(Body::News(update), targets, out);
     }
 
-    /// Takes what a hub passes on.
-    pub(super) fn hear_news(
+    /// Applies changes forwarded by a hub.
+    pub(super) fn receive_store_update(
         &mut self,
         now: Time,
         from: &BoxName,
-        news: &News,
+        update: &News,
         out: &mut Vec<Effect>,
     ) {
-        if news.until <= self.revision {
+        if update.until <= self.revision {
             return;
         }
-        let same = news.until.era == self.revision.era;
-        let complete = same && news.since.is_some_and(|since| since <= self.revision);
+        let same_era = update.until.era == self.revision.era;
+        let complete = same_era && update.since.is_some_and(|since| since <= self.revision);
         if !self.supplied || !complete {
-            return self.ask_for_all(now, from, out);
+            return self.fetch_missed_changes(now, from, out);
         }
-        if news.evacuated != self.control.evacuations.told {
-            self.evacuate(now, news.evacuated.clone(), out);
+        if update.evacuated != self.control.evacuations.reported {
+            self.evacuate(now, update.evacuated.clone(), out);
         }
-        // An order comes before the servers that were started for it.
-        self.take_rollouts(now, &news.rollouts, out);
-        for change in &news.changes {
-            self.supplied(now, change.clone(), news.until, out);
+        // An order must be known before the servers that were started for it.
+        self.take_rollouts(now, &update.rollouts, out);
+        for change in &update.changes {
+            self.supplied(now, change.clone(), update.until, out);
         }
-        self.revision = news.until;
+        self.revision = update.until;
     }
 
-    /// What this box, as a hub, has heard of the store by itself.
-    pub(super) fn word(&self, now: Time) -> Option<Word> {
-        let heard = self.control.store_told?;
+    /// Returns the store revision that this box knows, and the age of the store's last answer.
+    pub(super) fn store_progress(&self, now: Time) -> Option<Word> {
+        let heard_at = self.control.store_answered?;
         Some(Word {
             revision: self.revision,
-            age: now.since(heard),
+            age: now.since(heard_at),
         })
     }
 
-    /// Takes what a hub of this failure domain tells of the store.
-    pub(super) fn hear_word(
+    /// Records what a hub of this failure domain reports of the store's revision.
+    pub(super) fn receive_store_progress(
         &mut self,
         now: Time,
         from: &BoxName,
-        word: Word,
+        progress: Word,
         out: &mut Vec<Effect>,
     ) {
-        let heard = Time(now.0.saturating_sub(word.age.0));
-        self.control.word_heard = self.control.word_heard.max(Some(heard));
-        self.store_heard = self.store_heard.max(Some(heard));
-        if word.revision > self.revision && self.control.follow == Follow::Rest {
-            self.ask_for_all(now, from, out);
+        let heard_at = Time(now.0.saturating_sub(progress.age.0));
+        self.control.hub_heard_store = self.control.hub_heard_store.max(Some(heard_at));
+        self.store_heard = self.store_heard.max(Some(heard_at));
+        if progress.revision > self.revision && self.control.follow == Follow::Rest {
+            self.fetch_missed_changes(now, from, out);
         }
     }
 
-    fn ask_for_all(&mut self, now: Time, from: &BoxName, out: &mut Vec<Effect>) {
+    fn fetch_missed_changes(&mut self, now: Time, from: &BoxName, out: &mut Vec<Effect>) {
         let peer: Option<SocketAddr> = self.table.peer(from).map(|p| p.last.contact.peer);
         if let Some(peer) = peer
-            && Control::due(&mut self.control.last_roster, AGAIN, now)
+            && Control::due(
+                &mut self.control.last_roster_fetch,
+                FETCH_RETRY_INTERVAL,
+                now,
+            )
         {
             out.push(self.fetch_roster(peer));
         }
--- a/src/reducer/reading.rs
+++ b/src/reducer/reading.rs
@@ -1,7 +1,7 @@
-//! Long prompts: what a place has to read for a request, and how the boxes tell each other of it.
+//! Tracks long prompts: what an engine has to read for a request, and the messages about it.
 //!
-//! All boxes hear at once of each long prompt that an engine begins to read, so that they know where
-//! its parts are held, and which engine is busy reading.
+//! All boxes learn at once of each long prompt that an engine begins to read, so that they know
+//! where its parts are cached and which engine is busy reading.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
     wire::{Body, Frame, Holding, Reading, Short},
 };
 
-/// Held parts that a new box is told of: about 8 KB.
+/// Cached parts that a new box is told of: about 8 KB.
 const MAX_HOLDINGS: usize = 512;
 
 impl<P: Policy> State<P> {
-    /// What the boxes are told of `supply` at `place`; none for a request without a prompt.
+    /// Builds the message about `supply` at `place`; `None` for a request without a prompt.
     pub(super) fn reading(&self, job: &Job, place: &Place, supply: &Supply) -> Option<Reading> {
         let (Some(prompt), Place::Backend(name)) = (&job.prompt, place) else {
             return None;
@@ -36,31 +36,32 @@
         })
     }
 
-    /// Remembers a reading, and tells the other boxes of a long one.
+    /// Records a reading, and broadcasts it if the prompt is long.
     pub(super) fn note_reading(&mut self, now: Time, reading: Reading, out: &mut Vec<Effect>) {
-        self.remember(now, reading);
+        self.record_reading(now, reading);
         if reading.part.is_some() || reading.tokens >= cache::LONG {
-            self.announce(reading, out, now);
+            self.broadcast_reading(reading, out, now);
         }
     }
 
-    /// Tells the boxes that a backend server here begins to read a long prompt.
-    fn announce(&mut self, reading: Reading, out: &mut Vec<Effect>, now: Time) {
+    /// Broadcasts that a backend server of this region begins to read a long prompt.
+    fn broadcast_reading(&mut self, reading: Reading, out: &mut Vec<Effect>, now: Time) {
         for (to, spread) in self.everyone(now) {
             let frame = self.frame(Body::Reading(Reading { spread, ..reading }));
             out.push(Effect::Gossip { to, frame });
         }
     }
 
-    /// Takes in that a backend server begins to read a long prompt, and passes it on where asked.
-    pub(super) fn hear_reading(
+    /// Records that a backend server begins to read a long prompt, and forwards the message if
+    /// requested.
+    pub(super) fn receive_reading(
         &mut self,
         now: Time,
         frame: &Frame,
         reading: Reading,
         out: &mut Vec<Effect>,
     ) {
-        self.remember(now, reading);
+        self.record_reading(now, reading);
         if let Some(name) = self.fleet.long(reading.backend).cloned() {
             let server = self.servers.entry(name).or_default();
             server.hear(reading.tokens, now);
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Remembers that a backend server holds a prompt's part once it has read it.
-    fn remember(&mut self, now: Time, reading: Reading) {
+    /// Records that a backend server will hold a part of a prompt once it has read it.
+    fn record_reading(&mut self, now: Time, reading: Reading) {
         let part = reading.part.map(|id| Part {
             id,
             tokens: reading.shared,
@@ -85,7 +86,8 @@
         self.cache.note(reading.backend, part, tokens, now);
     }
 
-    /// Tells a box that just appeared which engines hold which parts, as one box's duty.
+    /// Sends the known cached parts to a box that just appeared, if this box is the one
+    /// responsible.
     pub(super) fn share_holdings(
         &mut self,
         now: Time,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Takes over what another box knows of held parts.
+    /// Records the cached parts that another box knows.
     pub(super) fn learn_holdings(&mut self, now: Time, holdings: &[Holding]) {
         for holding in holdings {
             self.cache.learn(*holding, now);
--- a/src/reducer/room.rs
+++ b/src/reducer/room.rs
@@ -1,4 +1,5 @@
-//! What this box can carry: it tells the region when that changes, and when it has too much in hand for it.
+//! Announces the capacity of this box to the region when it changes, and when the box becomes
+//! overloaded relative to the others.
 
 use crate::{
     policy::Policy,
@@ -11,18 +12,20 @@
     unit::{Millis, Time},
 };
 
-/// Requests in hand for its weight, beside the boxes of the region together, at which a box is full: chance
-/// alone seldom brings twice the mean where [`FEW`] are in hand. All boxes cannot be over their mean.
-const FULL: f64 = 2.0;
-/// The same, below which it is full no more.
-const EASED: f64 = 1.4;
-/// So few requests in hand fill no box.
-const FEW: u32 = 8;
-/// How long a box at least stays full or not: callers keep what a look-up told them for as long.
-const HOLD: Millis = Millis(3000);
+/// Requests in flight per weight, relative to the region as a whole, at which a box becomes full.
+/// Random variation alone seldom reaches twice the mean with at least [`MIN_BUSY_WHEN_FULL`] in
+/// flight, and not all boxes can be above their mean.
+const FULL_CROWDING: f64 = 2.0;
+/// The same ratio, at or below which a full box is no longer full.
+const EASED_CROWDING: f64 = 1.4;
+/// A box with fewer requests in flight is never full.
+const MIN_BUSY_WHEN_FULL: u32 = 8;
+/// Minimum time between two changes of the full state: callers use the result of a lookup for that
+/// long.
+const MIN_STATE_TIME: Millis = Millis(3000);
 
 impl<P: Policy> State<P> {
-    /// Takes what the settings say that this box can carry.
+    /// Applies the capacity of this box given by the settings.
     pub(super) fn resize(&mut self, now: Time, weight: Option<Weight>, out: &mut Vec<Effect>) {
         let old = self.table.room.weight;
         if old == weight {
@@ -30,47 +33,49 @@
         }
         self.table.room.weight = weight;
         out.push(Effect::Noted(Note::Resized { old, weight }));
-        self.tell_room(now, out);
+        self.announce_room(now, out);
     }
 
-    /// Notices whether this box is full, beside the others.
-    pub(super) fn watch_room(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Updates whether this box is full relative to the others.
+    pub(super) fn update_full(&mut self, now: Time, out: &mut Vec<Effect>) {
         let busy = self.jobs.len() as u32;
         let Room { weight, full } = self.table.room;
-        if !full && busy < FEW {
+        if !full && busy < MIN_BUSY_WHEN_FULL {
             return;
         }
         let crowding = self.table.crowding(busy, now).unwrap_or(0.0);
-        let bar = if full { EASED } else { FULL };
-        let fuller = busy >= FEW && crowding > bar;
-        if fuller == full || !Control::due(&mut self.control.last_room, HOLD, now) {
+        let threshold = if full { EASED_CROWDING } else { FULL_CROWDING };
+        let now_full = busy >= MIN_BUSY_WHEN_FULL && crowding > threshold;
+        if now_full == full
+            || !Control::due(&mut self.control.last_full_change, MIN_STATE_TIME, now)
+        {
             return;
         }
-        self.table.room.full = fuller;
+        self.table.room.full = now_full;
         out.push(Effect::Noted(Note::Filled {
-            full: fuller,
+            full: now_full,
             busy,
             weight,
             crowding,
         }));
-        self.tell_room(now, out);
+        self.announce_room(now, out);
     }
 
-    /// Whether this box has told the region that it is full.
+    /// Reports whether this box has announced that it is full.
     pub fn is_full(&self) -> bool {
         self.table.room.full
     }
 
-    /// What this box says that it can carry.
+    /// Returns the capacity that this box announces.
     pub fn weight(&self) -> Option<Weight> {
         self.table.room.weight
     }
 
-    /// Tells the region at once: in a large one heartbeats are seconds apart. A box that has not spoken yet
-    /// tells with its first heartbeat.
-    fn tell_room(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.control.pace_told > Millis(0) {
-            self.beat(now, out);
+    /// Announces the capacity at once, since heartbeats are seconds apart in a large region. A box
+    /// that has sent no heartbeat yet announces it with its first one.
+    fn announce_room(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if self.control.announced_period > Millis(0) {
+            self.broadcast_heartbeat(now, out);
         }
     }
 }
--- a/src/reducer/roster.rs
+++ b/src/reducer/roster.rs
@@ -1,10 +1,10 @@
-//! A box that the platform's store does not tell enough takes what it knows of backend servers from
-//! another box.
+//! Fetches the list of registered backend servers from another box where the platform's store does
+//! not answer, or lags.
 //!
-//! Heartbeats and digests say how far each box knows the store. A box that just started while the
-//! store is away, or that stays behind the others, asks one of them for all that it knows. Such a
-//! list is as good as the other box's own: the store's later news go on from there, and what it tells
-//! again is dropped.
+//! Heartbeats and digests carry the store revision that each box knows. A box that starts during an
+//! outage of the store, or that stays behind the others, fetches the state from one of them. Such a
+//! list is as good as the other box's own: later changes from the store continue from its revision,
+//! and repeated ones are dropped.
 
 use std::net::SocketAddr;
 
@@ -19,38 +19,38 @@
     unit::{Millis, Time},
 };
 
-/// How long the store has for the first list: it answers in a few milliseconds, or in some hundred
+/// Time for the store to send the first list. It answers in a few milliseconds, or in some hundred
 /// from another region or while many boxes start.
-const STORE_FIRST: Millis = Millis(600);
-/// How long the store has for news that another box already has, beyond the time for which a box lets
-/// changes gather: the way from another region, and a store that is slow.
-const LAG: Millis = Millis(300);
-/// How often another box is asked.
-const AGAIN: Millis = Millis(500);
-/// The duty to ask another region on behalf of this one.
-const DUTY: &str = "roster";
-/// A store unheard for this long does not reach this box: it answers a watch after 3 s at the latest,
-/// and a box of a large fleet asks again after up to 1 s.
-const STORE_SILENT: Millis = Millis(4500);
-
-/// What this box does not know of the store yet, though another one does.
+const FIRST_LIST_TIMEOUT: Millis = Millis(600);
+/// Time for the store to send changes that another box already has, beyond the time for which a box
+/// batches changes. It covers the latency from another region and a slow store.
+const MAX_STORE_LAG: Millis = Millis(300);
+/// Minimum time between two requests to other boxes.
+const FETCH_INTERVAL: Millis = Millis(500);
+/// Rank label of the box that asks other regions on behalf of its own.
+const REMOTE_FETCH_DUTY: &str = "roster";
+/// Time without an answer after which the store counts as unreachable. It answers a watch after 3 s
+/// at the latest, and a box of a large fleet asks again after up to 1 s.
+const STORE_TIMEOUT: Millis = Millis(4500);
+
+/// A store revision that another box knows and this one does not.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Behind {
-    /// How far the other one knew it.
+pub(super) struct StoreLag {
+    /// The revision that the other box knows.
     revision: Revision,
-    /// When this box heard of that.
+    /// When this box first learned that it is behind.
     since: Time,
 }
 
 impl<P: Policy> State<P> {
-    /// What this box knows of registered backend servers, or what changed of it after `since` where it
-    /// remembers that; none before it knows any list.
+    /// Returns the registered backend servers that this box knows, or only the changes after
+    /// `since` if its history reaches back that far; `None` before it has any list.
     pub fn roster(&self, now: Time, since: Option<Revision>) -> Option<Roster> {
         if !(self.registry && self.supplied) {
             return None;
         }
-        let same = |since: &Revision| since.era == self.revision.era;
-        let known = since.filter(|since| same(since) && *since <= self.revision);
+        let same_era = |since: &Revision| since.era == self.revision.era;
+        let known = since.filter(|since| same_era(since) && *since <= self.revision);
         let changed = known.and_then(|since| Some((since, self.changes.since(since)?)));
         let (since, (backends, gone)) = match changed {
             Some((since, names)) => (Some(since), self.fleet.sort_out(names, now)),
@@ -62,26 +62,27 @@
             gone,
             gaps: since.map_or_else(Vec::new, |since| self.changes.gaps_after(since)),
             doubted: self.fleet.doubted(now),
-            evacuated: self.control.evacuations.told.clone(),
+            evacuated: self.control.evacuations.reported.clone(),
             rollouts: self.rollouts.tell(now),
             revision: self.revision,
         })
     }
 
-    /// Notes that the store answered, and that all its changes up to `revision` are told.
+    /// Records that the store answered and has sent all its changes up to `revision`.
     pub(super) fn sync(&mut self, now: Time, revision: Revision) {
         self.revision = self.revision.max(revision);
         self.store_heard = Some(now);
-        self.control.store_told = Some(now);
+        self.control.store_answered = Some(now);
     }
 
-    /// Whether what the store tells by this number is older than what is known: news never run
-    /// backwards. What has the same number as that is the same, or was missed in a gap of the history.
+    /// Reports whether `revision` is older than the known one, so that its content must be dropped.
+    /// Content at the known revision is still accepted: it is either the same, or was missed in a
+    /// gap of the history.
     pub(super) fn is_old(&self, revision: Revision) -> bool {
         self.supplied && revision < self.revision
     }
 
-    /// Drops what the store tells by an older number.
+    /// Logs that outdated content from the store was dropped.
     pub(super) fn drop_old(&self, revision: Revision, out: &mut Vec<Effect>) {
         out.push(Effect::Noted(Note::OldNews {
             revision,
@@ -89,14 +90,15 @@
         }));
     }
 
-    /// Whether the platform's store, where this box follows it, was heard lately.
+    /// Reports whether the platform's store answered recently; true where no store is followed.
     pub(super) fn hears_store(&self, now: Time) -> bool {
-        let lately = |at: Time| now.since(at) <= STORE_SILENT;
-        !self.registry || self.store_heard.is_some_and(lately)
+        let is_recent = |at: Time| now.since(at) <= STORE_TIMEOUT;
+        !self.registry || self.store_heard.is_some_and(is_recent)
     }
 
-    /// Asks another box where the store has told nothing yet, or less than that box knows.
-    pub(super) fn chase_roster(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Fetches the list from another box if the store has sent none yet, or less than that box
+    /// knows.
+    pub(super) fn fetch_missing_roster(&mut self, now: Time, out: &mut Vec<Effect>) {
         let source = match self.supplied {
             true => self.newer_roster(now),
             false => self.first_roster(now),
@@ -104,67 +106,71 @@
         let Some(peer) = source else {
             return;
         };
-        if Control::due(&mut self.control.last_roster, AGAIN, now) {
+        if Control::due(&mut self.control.last_roster_fetch, FETCH_INTERVAL, now) {
             out.push(self.fetch_roster(peer));
         }
     }
 
-    /// The order to fetch what this box lacks from `peer`.
+    /// Builds the request to `peer` for the state that this box lacks.
     pub(super) fn fetch_roster(&self, peer: SocketAddr) -> Effect {
         let since = self.supplied.then_some(self.revision);
         Effect::FetchRoster { peer, since }
     }
 
-    /// A box that takes work, so that it has a list: of this region, or of another one.
+    /// Returns a box of this or another region that accepts work, and so has a list.
     fn first_roster(&self, now: Time) -> Option<SocketAddr> {
-        if now < Time(0) + STORE_FIRST {
+        if now < Time(0) + FIRST_LIST_TIMEOUT {
             return None;
         }
-        let near = self.table.sender(now);
-        let far = self.table.reachable(now);
-        let mut far = far.flat_map(|(_, remote)| &remote.digest.doors);
-        let far = || far.next().map(|door| door.contact.peer);
-        near.map(|contact| contact.peer).or_else(far)
+        let local = self.table.sender(now);
+        let remotes = self.table.reachable(now);
+        let mut remote_peers = remotes.flat_map(|(_, remote)| &remote.digest.doors);
+        let remote_peer = || remote_peers.next().map(|door| door.contact.peer);
+        local.map(|contact| contact.peer).or_else(remote_peer)
     }
 
-    /// A box to ask, where others have known more than this one for longer than the store's news take.
+    /// Returns a box to fetch from if others have been ahead of this one for longer than changes
+    /// from the store normally take.
     fn newer_roster(&mut self, now: Time) -> Option<SocketAddr> {
         let Some(revision) = self.newest_revision(now) else {
-            self.control.behind = None;
+            self.control.store_lag = None;
             return None;
         };
-        let still = self.control.behind.filter(|b| b.revision > self.revision);
+        let previous = self
+            .control
+            .store_lag
+            .filter(|b| b.revision > self.revision);
         let since = now;
-        let behind = still.unwrap_or(Behind { revision, since });
-        self.control.behind = Some(behind);
-        let patience = match self.hears_store(now) {
-            true => LAG + fleet::gathering(self.table.boxes(now)),
+        let store_lag = previous.unwrap_or(StoreLag { revision, since });
+        self.control.store_lag = Some(store_lag);
+        let tolerance = match self.hears_store(now) {
+            true => MAX_STORE_LAG + fleet::gathering(self.table.boxes(now)),
             false => Millis(0),
         };
-        if now.since(behind.since) < patience {
+        if now.since(store_lag.since) < tolerance {
             return None;
         }
         self.newer_source(now)
     }
 
-    /// How far any box is known to know the store, beyond what this one knows.
+    /// Returns the highest store revision known to any box, if it is beyond that of this one.
     fn newest_revision(&self, now: Time) -> Option<Revision> {
         if !self.registry {
             return None;
         }
-        let near = self.table.ahead_here(self.revision, now);
-        let far = self.table.ahead_elsewhere(self.revision, now);
-        let near = near.map(|peer| peer.last.revision);
-        near.max(far.map(|(_, remote)| remote.digest.revision))
+        let local = self.table.ahead_here(self.revision, now);
+        let remote_best = self.table.ahead_elsewhere(self.revision, now);
+        let local = local.map(|peer| peer.last.revision);
+        local.max(remote_best.map(|(_, remote)| remote.digest.revision))
     }
 
-    /// The box to ask for what this one does not know. One box of a region asks the others for all: bytes between
-    /// regions are few and dear.
+    /// Returns the box to fetch the missing state from. Only one box of a region asks other
+    /// regions, because traffic between regions is limited and expensive.
     fn newer_source(&self, now: Time) -> Option<SocketAddr> {
-        if let Some(near) = self.table.ahead_here(self.revision, now) {
-            return Some(near.last.contact.peer);
+        if let Some(local) = self.table.ahead_here(self.revision, now) {
+            return Some(local.last.contact.peer);
         }
-        if !self.table.leads(DUTY, now) {
+        if !self.table.leads(REMOTE_FETCH_DUTY, now) {
             return None;
         }
         let (region, _) = self.table.ahead_elsewhere(self.revision, now)?;
@@ -172,18 +178,18 @@
         Some(door.contact.peer)
     }
 
-    /// Takes over what another box knows, unless the store was faster.
+    /// Applies the state fetched from another box, unless the store has sent it in the meantime.
     pub(super) fn take_roster(&mut self, now: Time, roster: Roster, out: &mut Vec<Effect>) {
         if self.supplied && roster.revision <= self.revision {
             return;
         }
-        // Changes alone are of no use to a box that lacks what they follow.
-        let follows = |since: Revision| self.supplied && since <= self.revision;
-        if !roster.since.is_none_or(follows) {
+        // Changes are useless without the state that they are based on.
+        let is_applicable = |since: Revision| self.supplied && since <= self.revision;
+        if !roster.since.is_none_or(is_applicable) {
             return;
         }
         let revision = roster.revision;
-        // What another era's list lacks may be written again.
+        // Servers that a list of a newer era lacks may register again.
         let doubt = match self.supplied && revision.era > self.revision.era {
             true => fleet::DOUBT,
             false => Millis(0),
@@ -192,7 +198,8 @@
         match roster.since {
             None if self.supplied => self.changes.skip(self.revision, revision),
             None => {}
-            // All that changed is told, so that this box can pass it on in the same way.
+            // The answer contains every change since then, so this box can answer others
+            // incrementally too.
             Some(_) => {
                 for (since, until) in roster.gaps {
                     self.changes.skip(since.max(self.revision), until);
--- a/src/reducer/supply.rs
+++ b/src/reducer/supply.rs
@@ -1,8 +1,9 @@
-//! Where an engine gets the parts of a prompt that it lacks: from another engine that holds them, where that is
-//! sooner than reading them.
+//! Decides whether an engine fetches the missing parts of a prompt from another engine that holds
+//! them, where that is faster than reading them.
 //!
-//! The box that has the request decides, by what it knows of the engines' caches. Nothing is kept of a fetch: where
-//! its source has dropped the part by then, or is gone, the engine reads the prompt itself.
+//! The box that handles the request decides from what it knows of the engines' caches. It keeps no
+//! state about a fetch: if the source has dropped the part by then, or is gone, the engine reads
+//! the prompt itself.
 
 use std::net::SocketAddr;
 
@@ -17,43 +18,45 @@
     wire::Short,
 };
 
-/// Fewest tokens that are worth a fetch: the two engines' agreement takes as long as reading them.
-const LEAST: u32 = 512;
+/// Minimum tokens for a fetch. For fewer, the handshake between the two engines takes as long as
+/// reading them.
+const MIN_FETCH_TOKENS: u32 = 512;
 
-/// What an engine does to have a prompt in its memory.
+/// The work for an engine to have a prompt in its memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Supply {
     /// Tokens that it reads.
     pub(super) read: u32,
-    /// Tokens that it takes over from `source`.
+    /// Tokens that it fetches from `source`.
     pub(super) fetched: u32,
-    /// How long that takes.
+    /// Duration of the fetch.
     pub(super) span: Millis,
-    /// The engine that holds them.
+    /// Address of the engine that holds the fetched tokens.
     pub(super) source: Option<SocketAddr>,
 }
 
-/// The engines of a region that hold a prompt's longest shared part.
+/// The engines of a region that hold the longest shared part of a prompt.
 pub(super) struct Sources<'a> {
     engine: Engine,
-    /// Each with the tokens of the prompt that it lacks, and a number that differs between requests.
+    /// Each engine with the tokens of the prompt that it lacks, and a number that differs between
+    /// requests.
     holders: Vec<(&'a Backend, u32, u64)>,
 }
 
 impl Supply {
-    /// What `backend` has to do for a prompt of which it lacks `unread` tokens: it reads them all where there are no
-    /// sources.
+    /// Returns the work of `backend` for a prompt of which it lacks `unread` tokens. Without
+    /// sources it reads all of them.
     pub(super) fn of(
         sources: Option<&Sources<'_>>,
         backend: &Backend,
         unread: u32,
         server: &Server,
     ) -> Self {
-        let alone = || Self::reading(unread);
-        sources.map_or_else(alone, |sources| sources.supply(backend, unread, server))
+        let read_all = || Self::reading(unread);
+        sources.map_or_else(read_all, |sources| sources.supply(backend, unread, server))
     }
 
-    /// It reads all that it lacks.
+    /// Returns the work of an engine that reads all missing tokens itself.
     fn reading(unread: u32) -> Self {
         Self {
             read: unread,
@@ -63,26 +66,27 @@
 }
 
 impl Sources<'_> {
-    /// What `backend` has to do for a prompt of which it lacks `unread` tokens.
+    /// Returns the work of `backend` for a prompt of which it lacks `unread` tokens.
     fn supply(&self, backend: &Backend, unread: u32, server: &Server) -> Supply {
-        let alone = Supply::reading(unread);
+        let read_all = Supply::reading(unread);
         let others = self.holders.iter();
-        // Memory of other weights is of no use.
+        // Cached data of another release, which has other weights, cannot be used.
         let others =
             others.filter(|(b, ..)| b.name != backend.name && b.release == backend.release);
-        // Links between failure domains are slower. The draw spreads requests for one part over its holders.
+        // Links between failure domains are slower. The draw spreads requests for one part over its
+        // holders.
         let best =
             others.min_by_key(|(b, lacks, draw)| (*lacks, b.domain != backend.domain, *draw));
         let Some((holder, lacks, _)) = best else {
-            return alone;
+            return read_all;
         };
         let fetched = unread.saturating_sub(*lacks);
         let span = self.engine.transfer(fetched);
         let Some(span) = span.filter(|span| (span.0 as f64) < server.reading(fetched)) else {
-            return alone;
+            return read_all;
         };
-        if fetched < LEAST {
-            return alone;
+        if fetched < MIN_FETCH_TOKENS {
+            return read_all;
         }
         Supply {
             read: unread - fetched,
@@ -94,7 +98,8 @@
 }
 
 impl<P: Policy> State<P> {
-    /// The engines of `region` that `prompt` may be fetched from; none where memory does not move.
+    /// Returns the engines of `region` from which `prompt` may be fetched; `None` where the
+    /// service's engines cannot transfer memory.
     pub(super) fn sources(
         &self,
         now: Time,
@@ -110,7 +115,7 @@
         let holder = |short: Short| {
             let backend = self.fleet.get(self.fleet.long(short)?)?;
             let serves = backend.region == *region && backend.serves.contains(service);
-            if !serves || !self.may_supply(now, backend) {
+            if !serves || !self.is_healthy_source(now, backend) {
                 return None;
             }
             let lacks = self.cache.unread(prompt, short, Some(engine.tokens), now);
@@ -124,8 +129,8 @@
         })
     }
 
-    /// Whether an engine is well enough to be asked for what it holds.
-    fn may_supply(&self, now: Time, backend: &Backend) -> bool {
+    /// Reports whether an engine is healthy enough to serve a fetch.
+    fn is_healthy_source(&self, now: Time, backend: &Backend) -> bool {
         let failed = |server: &Server| server.failed_at().is_some();
         self.excluded(now, backend).is_none()
             && !self.table.is_down(Short::of(backend.name.as_str()), now)
@@ -133,7 +138,7 @@
             && !self.servers.get(&backend.name).is_some_and(failed)
     }
 
-    /// What `place` has to do for `job`, as far as this box knows; none for another region.
+    /// Returns the work of `place` for `job`, as far as this box knows; `None` for another region.
     pub(super) fn supply(&self, now: Time, job: &Job, place: &Place) -> Option<Supply> {
         let (Some(prompt), Place::Backend(name)) = (&job.prompt, place) else {
             return None;
--- a/src/reducer/tally.rs
+++ b/src/reducer/tally.rs
@@ -1,4 +1,4 @@
-//! What the boxes of a region tell each other, through hubs, of how they use its backend servers.
+//! Exchanges, through hubs, how the boxes of a region use its backend servers.
 
 use crate::{
     config::Backend,
@@ -10,16 +10,17 @@
 };
 
 /// Time between two reports of a box to its hubs, and of a hub to its boxes.
-const PERIOD: Millis = Millis(200);
-/// The same where no backend server is in use, and only the store's word is told.
-const WORD_PERIOD: Millis = Millis(500);
+const REPORT_PERIOD: Millis = Millis(200);
+/// The same while no backend server is in use and only the store's progress is reported.
+const STORE_REPORT_PERIOD: Millis = Millis(500);
 
 impl<P: Policy> State<P> {
-    /// Tells the hubs what this box sees of backend servers and, as a hub, tells the boxes the sums.
+    /// Sends this box's view of backend servers to the hubs and, as a hub, the sums to the boxes.
     ///
-    /// A region whose heartbeats come at the shortest time needs no hubs.
-    pub(super) fn tell_usages(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if !self.table.has_hubs() || !Control::due(&mut self.control.last_tally, PERIOD, now) {
+    /// A region whose heartbeats use the shortest period needs no hubs.
+    pub(super) fn report_usage(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if !self.table.has_hubs() || !Control::due(&mut self.control.last_tally, REPORT_PERIOD, now)
+        {
             return;
         }
         let report = Report {
@@ -31,46 +32,50 @@
         let hubs = self.table.hubs(ready, now);
         let idle = report.is_empty();
         let was_idle = std::mem::replace(&mut self.control.idle, idle);
-        // Who has nothing to tell says so once.
+        // An empty report is sent only once.
         if !(idle && was_idle) {
             self.send_all(Body::Report(report.clone()), hubs.others, out);
         }
         self.table.tell_report(&report);
         if hubs.mine {
-            self.sum_up(now, report, out);
+            self.broadcast_tally(now, report, out);
         }
     }
 
-    /// As a hub, adds up what the boxes told, and passes the sums on.
-    fn sum_up(&mut self, now: Time, report: Report, out: &mut Vec<Effect>) {
+    /// As a hub, adds up the reports of the boxes and broadcasts the sums.
+    fn broadcast_tally(&mut self, now: Time, report: Report, out: &mut Vec<Effect>) {
         let shares = self.table.sum_up(report, now);
         let is_idle = |share: &Share| share.report.is_empty();
         let held = self.quarantine.told(now);
         let idle = held.is_empty() && shares.iter().all(is_idle);
         let was_idle = std::mem::replace(&mut self.control.idle_region, idle);
-        let store = self.word(now);
-        let due = Control::due(&mut self.control.last_word, WORD_PERIOD, now);
+        let store = self.store_progress(now);
+        let due = Control::due(
+            &mut self.control.last_store_report,
+            STORE_REPORT_PERIOD,
+            now,
+        );
         if idle && was_idle && (store.is_none() || !due) {
             return;
         }
         let own: Vec<Share> = shares.iter().take(1).cloned().collect();
-        let here = self.table.neighbours(now);
-        let away = self.table.other_hubs(now);
-        let told = Tally {
+        let neighbours = self.table.neighbours(now);
+        let other_hubs = self.table.other_hubs(now);
+        let tally = Tally {
             shares,
             store,
             held,
         };
-        self.send_all(Body::Tally(told), here, out);
-        let told = Tally {
+        self.send_all(Body::Tally(tally), neighbours, out);
+        let tally = Tally {
             shares: own,
             store: None,
             held: Vec::new(),
         };
-        self.send_all(Body::Tally(told), away, out);
+        self.send_all(Body::Tally(tally), other_hubs, out);
     }
 
-    /// What this box has seen of backend servers in the last moments.
+    /// Returns the recent usage of backend servers by this box.
     fn usages(&self, now: Time) -> Vec<Usage> {
         let usage = |(name, server): (&crate::id::Backend, &crate::server::Server)| {
             server.usage(Short::of(name.as_str()), now)
@@ -78,13 +83,13 @@
         self.servers.iter().filter_map(usage).collect()
     }
 
-    /// Takes what a box of this failure domain sees of backend servers.
-    pub(super) fn hear_report(&mut self, now: Time, from: &BoxName, report: &Report) {
+    /// Records the usage report of a box of this failure domain.
+    pub(super) fn receive_report(&mut self, now: Time, from: &BoxName, report: &Report) {
         self.table.hear_report(from, report.clone(), now);
     }
 
-    /// Takes the sums that a hub tells.
-    pub(super) fn hear_tally(
+    /// Records the sums that a hub broadcasts.
+    pub(super) fn receive_tally(
         &mut self,
         now: Time,
         from: &BoxName,
@@ -93,14 +98,14 @@
     ) {
         self.hear_held(now, &tally.held, out);
         if self.table.hear_tally(from, &tally.shares, now)
-            && let Some(word) = tally.store
+            && let Some(progress) = tally.store
         {
-            self.hear_word(now, from, word, out);
+            self.receive_store_progress(now, from, progress, out);
         }
     }
 
-    /// Whether other boxes found that `backend` is gone, and this request is not the one that looks
-    /// whether it is back: one in as many as there are boxes, drawn by `draw`.
+    /// Reports whether other boxes found that `backend` is down and this request should avoid it.
+    /// Of as many requests as there are boxes, one, chosen by `draw`, is let through as a probe.
     pub(super) fn is_shunned(&self, now: Time, backend: &Backend, draw: u64) -> bool {
         if !self.table.is_down(Short::of(backend.name.as_str()), now) {
             return false;
