--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,9 +1,9 @@
-//! The backend servers that a box may use: those that the configuration names, and those that
-//! registered themselves with the platform.
+//! Backend servers that a box may use: those named by the configuration and those registered with
+//! the platform.
 //!
-//! A registration that vanishes in steady state means that the server leaves. One that vanishes
-//! around an outage of the store is in doubt for a while, because the store may have dropped it by
-//! itself and the server may register again.
+//! A registration that disappears while the store is healthy means that the server is leaving. A
+//! registration that disappears around a store outage is treated as possibly valid for a while,
+//! because the store may have dropped it and the server may register again.
 
 mod changes;
 mod departures;
@@ -31,90 +31,98 @@
 use ending::Ending;
 use index::Index;
 
-/// How long a registration that vanished around an outage of the store is still believed. Servers
-/// that live are back about two seconds after the store; the rest covers the way of the news.
+/// How long a registration that disappeared around a store outage is still treated as valid. Live
+/// servers re-register about two seconds after the store is back; the rest covers the propagation
+/// of the update.
 pub const DOUBT: Millis = Millis(2300);
 
-/// How long after the store came back from a copy what it lacks may still be written again: servers that live are
-/// back within two seconds, and the entry of one that ended lapses after three heartbeats.
+/// How long after a restore from a copy entries missing from the store may still be written again.
+/// Live servers re-register within two seconds, and the entry of a server that ended expires after
+/// three heartbeats.
 pub const RESTORED: Millis = Millis(5000);
 
-/// How long it is remembered that a server is gone, which a store that comes back from a copy may tell of again.
-const REMEMBERED: Millis = Millis(60_000);
+/// How long ended registrations are remembered, because a store restored from a copy may list them
+/// again.
+const ENDED_RETENTION: Millis = Millis(60_000);
 
-/// How long changes are gathered after some came, for each box of the fleet beyond [`FEW`], and the
-/// most: all boxes together ask the store about 100 times a second at most. News are due within
-/// seconds, and a change that comes alone is not held up.
-const GATHER: (Millis, Millis) = (Millis(12), Millis(1000));
-/// So many boxes cost the store little, and hear of changes at once.
-const FEW: usize = 9;
+/// Delay for batching changes: the time per box of the fleet beyond [`SMALL_FLEET_BOXES`], and the
+/// maximum. All boxes together query the store at most about 100 times a second. Changes need to
+/// arrive within seconds, and a single change is not delayed.
+const BATCH_DELAY: (Millis, Millis) = (Millis(12), Millis(1000));
+/// Number of boxes up to which changes are fetched without a batching delay, since so few boxes put
+/// little load on the store.
+const SMALL_FLEET_BOXES: usize = 9;
 
-/// How long a box among `boxes` lets changes of the platform's store gather.
+/// Returns how long a box in a fleet of `boxes` batches changes of the platform's store.
 pub fn gathering(boxes: usize) -> Millis {
-    let more = boxes.saturating_sub(FEW) as u64;
-    Millis(GATHER.0.0.saturating_mul(more)).min(GATHER.1)
+    let more = boxes.saturating_sub(SMALL_FLEET_BOXES) as u64;
+    Millis(BATCH_DELAY.0.0.saturating_mul(more)).min(BATCH_DELAY.1)
 }
 
-/// The roll-outs of services that the platform's store tells of.
+/// Roll-outs by service, as recorded in the platform's store.
 pub type Rollouts = BTreeMap<Service, rollout::Entry>;
 
-/// All that a box knows of registered backend servers, for a box that cannot ask the store.
+/// Snapshot or delta of the registered backend servers that a box knows, sent to a box that cannot
+/// query the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
-    /// The backend servers; where it tells only what changed, those that are new or changed.
+    /// All backend servers, or only those added or changed in a delta.
     pub backends: Vec<Backend>,
-    /// The revision after which it tells what changed; none where it tells all.
+    /// Revision on which the delta is based; `None` for a full snapshot.
     pub since: Option<Revision>,
-    /// Those that are gone since.
+    /// Backend servers removed since then.
     pub gone: Vec<id::Backend>,
-    /// Spans since of which only the outcome is known: what changed and changed back in them is not told.
+    /// Revision ranges after `since` of which only the final state is known: servers that changed
+    /// and changed back within them are not included.
     pub gaps: Vec<(Revision, Revision)>,
-    /// How long those of them are believed whose registration is in doubt.
+    /// How much longer each registration in doubt is treated as valid.
     pub doubted: BTreeMap<id::Backend, Millis>,
-    /// The failure domains under evacuation.
+    /// Failure domains under evacuation.
     pub evacuated: BTreeSet<Domain>,
-    /// The roll-outs.
+    /// Roll-outs of services.
     pub rollouts: Rollouts,
-    /// How far it goes.
+    /// Revision that the roster is current as of.
     pub revision: Revision,
 }
 
-/// What became known of the registered backend servers.
+/// Change to the registered backend servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// All of them.
+    /// The complete list.
     List {
         /// The backend servers.
         backends: Vec<Backend>,
-        /// How long a missing one may be missing by the store's fault; zero where it is not.
+        /// How long a missing server may be missing because of a store fault; zero if the store is
+        /// healthy.
         doubt: Millis,
     },
-    /// One is new or changed.
+    /// A server was added or changed.
     Put(Backend),
-    /// One vanished.
+    /// A registration disappeared.
     Gone {
         /// Its name.
         name: id::Backend,
-        /// How long that may be the store's fault; zero where it is not.
+        /// How long the disappearance may be due to a store fault; zero if the store is healthy.
         doubt: Millis,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    /// It is leaving where its registration says so, or it said so itself.
+    /// The server; `leaving` is set if its registration says so or if the server itself announced
+    /// it.
     backend: Backend,
     registered: bool,
-    /// Whether its registration or the configuration says that it is leaving.
+    /// Whether the registration or the configuration marks the server as leaving.
     registered_leaving: bool,
     cold_until: Time,
-    /// When it is taken out unless it comes back.
+    /// When the server is removed unless its registration reappears.
     missing_until: Option<Time>,
 }
 
 impl Member {
-    /// The server as others are told of it at `now`.
-    fn told(&self, ending: &Ending, now: Time) -> Backend {
+    /// Returns the server as sent to other boxes at `now`.
+    fn snapshot(&self, ending: &Ending, now: Time) -> Backend {
         Backend {
             cold: self.cold_until.since(now),
             time_left: ending.left(&self.backend.name, now),
@@ -123,35 +131,41 @@
     }
 }
 
-/// How long the word of `name` that it leaves is kept; none where it holds for the server's life.
-fn departure_kept(members: &HashMap<id::Backend, Member>, name: &id::Backend) -> Option<Millis> {
+/// Returns how long an announced departure of `name` is kept; `None` if it is valid for the rest of
+/// the server's incarnation.
+fn departure_retention(
+    members: &HashMap<id::Backend, Member>,
+    name: &id::Backend,
+) -> Option<Millis> {
     match members.get(name) {
         Some(member) if member.registered => None,
-        Some(_) => Some(departures::ASK_AGAIN),
-        None => Some(departures::KEPT),
+        Some(_) => Some(departures::CONFIGURED_RETENTION),
+        None => Some(departures::UNREGISTERED_RETENTION),
     }
 }
 
-/// All backend servers that a box knows.
+/// Registry of all backend servers known to a box.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     members: HashMap<id::Backend, Member>,
     index: Index,
-    /// Those whose registration is in doubt.
+    /// Servers whose registration is in doubt.
     missing: HashSet<id::Backend>,
-    /// Those that started again under their name, since somebody asked.
-    reborn: Vec<id::Backend>,
+    /// Servers that restarted under the same name since the last [`Fleet::take_reborn`].
+    restarted: Vec<id::Backend>,
     departures: Departures,
     ending: Ending,
-    /// Lives of servers whose registration is gone, and since when.
-    ended: HashMap<id::Backend, (Option<Incarnation>, Time)>,
-    /// Until when a list may be an old copy, and what it told of servers whose registration was gone.
-    copied_until: Option<Time>,
+    /// Incarnations of servers whose registration has ended, and when it ended.
+    ended_incarnations: HashMap<id::Backend, (Option<Incarnation>, Time)>,
+    /// Until when a list may be outdated because the store was restored from a copy, and the
+    /// servers listed meanwhile whose registration had already ended.
+    restored_until: Option<Time>,
     withheld: HashMap<id::Backend, Backend>,
 }
 
 impl Fleet {
-    /// Notes that a backend server said at `at` that this life of it leaves; true where that is news.
+    /// Records that this incarnation of a backend server announced its departure at `at`; returns
+    /// whether that was not known before.
     pub fn depart(
         &mut self,
         name: &id::Backend,
@@ -159,33 +173,33 @@
         at: Time,
         now: Time,
     ) -> bool {
-        let kept = departure_kept(&self.members, name);
-        if kept.is_some_and(|kept| now.since(at) >= kept) {
+        let retention = departure_retention(&self.members, name);
+        if retention.is_some_and(|retention| now.since(at) >= retention) {
             return false;
         }
-        let news = self.departures.note(name, incarnation, at);
+        let is_new = self.departures.note(name, incarnation, at);
         if let Some(member) = self.members.get_mut(name) {
             member.backend.leaving |= self.departures.contains(&member.backend);
         }
-        news
+        is_new
     }
 
-    /// The backend servers that said that they leave where their registration does not say so yet, and when
-    /// they said it last.
+    /// Returns the backend servers that announced their departure while their registration does not
+    /// show it yet, with the time of the last announcement.
     pub fn departing(&self) -> impl Iterator<Item = (&Backend, Time)> {
-        let words = self.departures.iter();
-        let known = words.filter_map(|(name, at)| Some((self.members.get(name)?, at)));
-        let ahead = known.filter(|(m, _)| m.backend.leaving && !m.registered_leaving);
-        ahead.map(|(member, at)| (&member.backend, at))
+        let departures = self.departures.iter();
+        let known = departures.filter_map(|(name, at)| Some((self.members.get(name)?, at)));
+        let announced = known.filter(|(m, _)| m.backend.leaving && !m.registered_leaving);
+        announced.map(|(member, at)| (&member.backend, at))
     }
 
-    /// Whether `name` is leaving by its own word, and not by its registration.
+    /// Reports whether `name` announced its own departure and its registration does not show it.
     pub fn is_departing(&self, name: &id::Backend) -> bool {
         let member = self.members.get(name);
         member.is_some_and(|m| m.backend.leaving && !m.registered_leaving)
     }
 
-    /// Takes over the backend servers that a new configuration names.
+    /// Replaces the servers of the previous configuration by those of a new one.
     pub fn configure(&mut self, backends: &HashMap<id::Backend, Backend>) {
         let configured = self.members.iter().filter(|(_, m)| !m.registered);
         let old: Vec<id::Backend> = configured.map(|(name, _)| name.clone()).collect();
@@ -197,19 +211,19 @@
         }
     }
 
-    /// Takes in what became known at `now`; true where that took a server out.
+    /// Applies a change received at `now`; returns whether it removed a server.
     pub fn apply(&mut self, change: Change, now: Time) -> bool {
         match change {
-            Change::List { backends, doubt } => self.list(backends, doubt, now),
+            Change::List { backends, doubt } => self.apply_list(backends, doubt, now),
             Change::Put(backend) => {
                 self.put(backend, true, now);
                 false
             }
-            Change::Gone { name, doubt } => self.miss(&name, doubt, now),
+            Change::Gone { name, doubt } => self.mark_missing(&name, doubt, now),
         }
     }
 
-    fn list(&mut self, backends: Vec<Backend>, doubt: Millis, now: Time) -> bool {
+    fn apply_list(&mut self, backends: Vec<Backend>, doubt: Millis, now: Time) -> bool {
         let listed: HashSet<id::Backend> = backends.iter().map(|b| b.name.clone()).collect();
         let registered = self.members.iter().filter(|(_, m)| m.registered);
         let missing: Vec<id::Backend> = registered
@@ -218,11 +232,11 @@
             .collect();
         let mut removed = false;
         for name in missing {
-            removed |= self.miss(&name, doubt, now);
+            removed |= self.mark_missing(&name, doubt, now);
         }
         self.withheld.clear();
         for backend in backends {
-            if self.is_copied(&backend, now) {
+            if self.may_be_outdated(&backend, now) {
                 self.withheld.insert(backend.name.clone(), backend);
             } else {
                 self.put(backend, true, now);
@@ -231,9 +245,10 @@
         removed
     }
 
-    /// Notes that the store came back from a copy: what was known of servers that left outranks it.
+    /// Records that the store was restored from a copy: for a while, earlier knowledge of servers
+    /// that left takes precedence over its lists.
     pub fn enter_era(&mut self, now: Time) {
-        self.copied_until = Some(now + RESTORED);
+        self.restored_until = Some(now + RESTORED);
         let leaving = self.members.values();
         let leaving = leaving.filter(|m| m.registered && m.registered_leaving);
         for Member { backend, .. } in leaving {
@@ -242,10 +257,10 @@
         }
     }
 
-    /// Whether a list may name `backend` only because it is an old copy.
-    fn is_copied(&self, backend: &Backend, now: Time) -> bool {
-        let ended = self.ended.get(&backend.name);
-        self.copied_until.is_some_and(|until| now < until)
+    /// Reports whether a list may name `backend` only because it is an outdated copy.
+    fn may_be_outdated(&self, backend: &Backend, now: Time) -> bool {
+        let ended = self.ended_incarnations.get(&backend.name);
+        self.restored_until.is_some_and(|until| now < until)
             && ended.is_some_and(|(life, _)| *life == backend.incarnation)
     }
 
@@ -253,17 +268,18 @@
         let known = self.members.get(&backend.name);
         let before = known.and_then(|m| m.backend.incarnation);
         if before > backend.incarnation && backend.incarnation.is_some() {
-            // A life that is over wrote this late.
+            // A late write of an earlier incarnation.
             return;
         }
-        self.ended.remove(&backend.name);
+        self.ended_incarnations.remove(&backend.name);
         self.withheld.remove(&backend.name);
         if before.is_some() && before < backend.incarnation {
-            self.reborn.push(backend.name.clone());
+            self.restarted.push(backend.name.clone());
         }
-        // It may get cold again, and what it says of that only shrinks meanwhile.
-        let told = now + backend.cold;
-        let cold_until = known.map_or(told, |m| m.cold_until.max(told));
+        // The later end is kept: the server may become cold again, and the remaining time that it
+        // reports otherwise only decreases.
+        let reported_until = now + backend.cold;
+        let cold_until = known.map_or(reported_until, |m| m.cold_until.max(reported_until));
         self.remove(&backend.name);
         self.ending.note(&backend, now);
         self.index.add(&backend);
@@ -289,21 +305,22 @@
         removed.is_some()
     }
 
-    /// Takes one out whose registration is gone.
-    fn end(&mut self, name: &id::Backend, now: Time) -> bool {
+    /// Removes a server whose registration has ended.
+    fn remove_ended(&mut self, name: &id::Backend, now: Time) -> bool {
         if let Some(member) = self.members.get(name).filter(|m| m.registered) {
             let life = member.backend.incarnation;
-            self.ended.insert(name.clone(), (life, now));
+            self.ended_incarnations.insert(name.clone(), (life, now));
         }
         self.ending.forget(name);
         self.remove(name)
     }
 
-    /// Takes one out, or believes it for as long as its absence is in doubt; true for the first.
-    fn miss(&mut self, name: &id::Backend, doubt: Millis, now: Time) -> bool {
+    /// Removes a server, or keeps it for as long as its absence is in doubt; returns whether it was
+    /// removed.
+    fn mark_missing(&mut self, name: &id::Backend, doubt: Millis, now: Time) -> bool {
         self.withheld.remove(name);
         if doubt == Millis(0) {
-            return self.end(name, now);
+            return self.remove_ended(name, now);
         }
         if let Some(member) = self.members.get_mut(name) {
             member.missing_until.get_or_insert(now + doubt);
@@ -312,81 +329,83 @@
         false
     }
 
-    /// Takes out those that stayed missing; true where there were any.
+    /// Removes servers whose registration stayed missing; returns whether there were any. Also
+    /// expires announced departures and restore state.
     pub fn sweep(&mut self, now: Time) -> bool {
-        let over = |name: &&id::Backend| {
+        let is_expired = |name: &&id::Backend| {
             let member = self.members.get(*name);
             let until = member.and_then(|m| m.missing_until);
             until.is_none_or(|until| now >= until)
         };
-        let over: Vec<id::Backend> = self.missing.iter().filter(over).cloned().collect();
-        for name in &over {
-            self.end(name, now);
+        let expired: Vec<id::Backend> = self.missing.iter().filter(is_expired).cloned().collect();
+        for name in &expired {
+            self.remove_ended(name, now);
         }
         self.sweep_departures(now);
-        self.sweep_copy(now);
-        !over.is_empty()
+        self.sweep_restored(now);
+        !expired.is_empty()
     }
 
-    /// Takes in what an old copy told and what is still told now.
-    fn sweep_copy(&mut self, now: Time) {
-        if self.copied_until.is_some_and(|until| now >= until) {
-            self.copied_until = None;
+    /// Applies the withheld entries of an outdated list that are still listed once the restore
+    /// period is over.
+    fn sweep_restored(&mut self, now: Time) {
+        if self.restored_until.is_some_and(|until| now >= until) {
+            self.restored_until = None;
             for backend in std::mem::take(&mut self.withheld).into_values() {
                 self.put(backend, true, now);
             }
         }
-        self.ended
-            .retain(|_, (_, since)| now.since(*since) < REMEMBERED);
+        self.ended_incarnations
+            .retain(|_, (_, since)| now.since(*since) < ENDED_RETENTION);
     }
 
-    /// Forgets what servers said that they leave, where it may not be so any more.
+    /// Drops announced departures that have expired.
     fn sweep_departures(&mut self, now: Time) {
-        let kept = |name: &id::Backend| departure_kept(&self.members, name);
-        for name in self.departures.expire(kept, now) {
+        let retention = |name: &id::Backend| departure_retention(&self.members, name);
+        for name in self.departures.expire(retention, now) {
             if let Some(member) = self.members.get_mut(&name) {
                 member.backend.leaving = member.registered_leaving;
             }
         }
     }
 
-    /// The backend servers that started again under their name since the last call: what was known of
-    /// them speaks of a life that is over.
+    /// Returns the backend servers that restarted under the same name since the last call: what was
+    /// known of them applies to an earlier incarnation.
     pub fn take_reborn(&mut self) -> Vec<id::Backend> {
-        std::mem::take(&mut self.reborn)
+        std::mem::take(&mut self.restarted)
     }
 
-    /// The backend server called `name`.
+    /// Returns the backend server called `name`.
     pub fn get(&self, name: &id::Backend) -> Option<&Backend> {
         self.members.get(name).map(|m| &m.backend)
     }
 
-    /// The name that `short` stands for.
+    /// Returns the full name for the hash `short`.
     pub fn long(&self, short: Short) -> Option<&id::Backend> {
-        self.index.long(short)
+        self.index.name_of(short)
     }
 
-    /// Whether `name` is known.
+    /// Reports whether `name` is known.
     pub fn contains(&self, name: &id::Backend) -> bool {
         self.members.contains_key(name)
     }
 
-    /// Whether `name` is still cold at `now`.
+    /// Reports whether `name` is still cold at `now`.
     pub fn is_cold(&self, name: &id::Backend, now: Time) -> bool {
         self.cold_left(name, now) > Millis(0)
     }
 
-    /// How long `name` is still cold at `now`.
+    /// Returns how much longer `name` is cold at `now`.
     pub fn cold_left(&self, name: &id::Backend, now: Time) -> Millis {
         let until = self.members.get(name).map(|m| m.cold_until);
         until.map_or(Millis(0), |until| until.since(now))
     }
 
-    /// Notes that the backend servers of `domain` may just have become cold, for as long as `span`
-    /// says of their service.
+    /// Records that the backend servers of `domain` may just have become cold, for the longest
+    /// `span` of the services that each serves.
     pub fn chill(&mut self, domain: &Domain, span: impl Fn(&Service) -> Millis, now: Time) {
-        let there = |m: &&mut Member| m.backend.domain == *domain;
-        for member in self.members.values_mut().filter(there) {
+        let in_domain = |m: &&mut Member| m.backend.domain == *domain;
+        for member in self.members.values_mut().filter(in_domain) {
             let spans = member.backend.serves.iter().map(&span);
             let longest = spans.max().unwrap_or_default();
             member.cold_until = member.cold_until.max(now + longest);
@@ -398,17 +417,17 @@
         self.members.values().map(|m| &m.backend)
     }
 
-    /// The backend servers that registered themselves, as of `now`.
+    /// Returns the registered backend servers as of `now`.
     pub fn registered(&self, now: Time) -> Vec<Backend> {
         let registered = self.members.values().filter(|m| m.registered);
         let withheld = self.withheld.values().cloned();
         registered
-            .map(|m| m.told(&self.ending, now))
+            .map(|m| m.snapshot(&self.ending, now))
             .chain(withheld)
             .collect()
     }
 
-    /// Those of `names` that registered themselves, as of `now`, and those that are gone.
+    /// Splits `names` into servers that are registered as of `now` and servers that are gone.
     pub fn sort_out<'a>(
         &self,
         names: impl IntoIterator<Item = &'a id::Backend>,
@@ -417,7 +436,7 @@
         let (mut found, mut gone) = (Vec::new(), Vec::new());
         for name in names {
             match self.members.get(name) {
-                Some(member) if member.registered => found.push(member.told(&self.ending, now)),
+                Some(member) if member.registered => found.push(member.snapshot(&self.ending, now)),
                 Some(_) => {}
                 None => match self.withheld.get(name) {
                     Some(backend) => found.push(backend.clone()),
@@ -428,8 +447,9 @@
         (found, gone)
     }
 
-    /// The names in which a list differs from what is known. A registration that was in doubt and is listed
-    /// differs: others may still doubt it.
+    /// Returns the names for which `list` differs from the known state. A listed server whose
+    /// registration was in doubt counts as different, because other boxes may still have it in
+    /// doubt.
     pub fn differences(&self, list: &[Backend]) -> Vec<id::Backend> {
         let listed: HashMap<&id::Backend, &Backend> = list.iter().map(|b| (&b.name, b)).collect();
         let same = |name: &id::Backend, backend: &Backend| {
@@ -456,7 +476,7 @@
         missing.chain(changed).cloned().collect()
     }
 
-    /// How long each registration that is in doubt is believed from `now` on.
+    /// Returns how much longer each registration in doubt is treated as valid, from `now` on.
     pub fn doubted(&self, now: Time) -> BTreeMap<id::Backend, Millis> {
         let left = |name: &id::Backend| {
             let until = self.members.get(name)?.missing_until?;
@@ -465,47 +485,48 @@
         self.missing.iter().filter_map(left).collect()
     }
 
-    /// The part of all backend servers' slots that stand in `region`.
+    /// Returns the share of all backend servers' slots located in `region`.
     pub fn share(&self, region: &Region) -> f64 {
-        let (mut all, mut here) = (0_u64, 0_u64);
+        let (mut total, mut in_region) = (0_u64, 0_u64);
         for backend in self.iter() {
             let slots = u64::from(backend.slots);
-            all += slots;
-            here += if backend.region == *region { slots } else { 0 };
+            total += slots;
+            in_region += if backend.region == *region { slots } else { 0 };
         }
-        if all == 0 {
+        if total == 0 {
             1.0
         } else {
-            here as f64 / all as f64
+            in_region as f64 / total as f64
         }
     }
 
-    /// What the backend servers serve.
+    /// Returns the services that the backend servers provide.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.index.services()
     }
 
-    /// The backend servers of `region` that serve `service`, in the order of their names.
+    /// Returns the backend servers of `region` that serve `service`, sorted by name.
     pub fn serving(&self, service: &Service, region: &Region) -> impl Iterator<Item = &Backend> {
         let group = self.index.group(service, region);
         let names = group.map_or(&[][..], |group| group.names.as_slice());
         names.iter().filter_map(|name| self.get(name))
     }
 
-    /// How many those are.
+    /// Returns the number of backend servers of `region` that serve `service`.
     pub fn count(&self, service: &Service, region: &Region) -> usize {
         let group = self.index.group(service, region);
         group.map_or(0, |group| group.names.len())
     }
 
-    /// The same servers in an order that begins anywhere by `key`, alike at every box.
+    /// Returns the backend servers of `region` that serve `service` in ring order from `key`, which
+    /// is the same at every box.
     pub fn around(
         &self,
         service: &Service,
         region: &Region,
         key: u64,
     ) -> impl Iterator<Item = &Backend> {
-        let names = self.index.around(service, region, key);
+        let names = self.index.ring_from(service, region, key);
         names.filter_map(|name| self.get(name))
     }
 }
--- a/src/fleet/departures.rs
+++ b/src/fleet/departures.rs
@@ -1,7 +1,8 @@
-//! Backend servers that said in an answer that they leave.
+//! Backend servers that announced their departure in an answer.
 //!
-//! A server's own word outranks its registration: while the platform's store is away or slow, the registration
-//! still says that the server takes work. It holds for one life of the server.
+//! A server's own announcement takes precedence over its registration: while the platform's store
+//! is unavailable or slow, the registration still marks the server as taking work. An announcement
+//! is valid for one incarnation of the server.
 
 use std::collections::HashMap;
 
@@ -11,27 +12,29 @@
     unit::{Millis, Time},
 };
 
-/// How long the word of a server is kept whose registration is gone: an old one may come back with a store
-/// that was away.
-pub(super) const KEPT: Millis = Millis(600_000);
-/// How long the word of a server holds that the configuration names: nothing tells when it starts again.
-pub(super) const ASK_AGAIN: Millis = Millis(60_000);
+/// How long an announcement is kept once the server's registration is gone: an outdated
+/// registration may reappear when the store comes back.
+pub(super) const UNREGISTERED_RETENTION: Millis = Millis(600_000);
+/// How long an announcement of a server named by the configuration is kept, since nothing reports
+/// when such a server restarts.
+pub(super) const CONFIGURED_RETENTION: Millis = Millis(60_000);
 
-/// One server's word.
+/// Announcement of one server.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
-    /// The life that leaves, where it is known.
+    /// Incarnation that is leaving, if known.
     incarnation: Option<Incarnation>,
-    /// When the word was heard last.
+    /// When the announcement was last received.
     at: Time,
 }
 
-/// All such words that this box knows of.
+/// All announcements known to this box.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures(HashMap<id::Backend, Departure>);
 
 impl Departures {
-    /// Notes that this life of a server said at `at` that it leaves; true where that is news.
+    /// Records that this incarnation of a server announced its departure at `at`; returns whether
+    /// that was not known before.
     pub(super) fn note(
         &mut self,
         name: &id::Backend,
@@ -40,42 +43,43 @@
     ) -> bool {
         let known = self.0.get(name);
         if known.is_some_and(|known| known.incarnation > incarnation) {
-            // A later life said so.
+            // A later incarnation has already announced its departure.
             return false;
         }
         let same = known.filter(|known| known.incarnation == incarnation);
         let at = same.map_or(at, |known| known.at.max(at));
-        let news = same.is_none();
+        let is_new = same.is_none();
         self.0.insert(name.clone(), Departure { incarnation, at });
-        news
+        is_new
     }
 
-    /// Whether this life of a server said that it leaves.
+    /// Reports whether this incarnation of a server announced its departure.
     pub(super) fn contains(&self, backend: &Backend) -> bool {
         let departure = self.0.get(&backend.name);
         departure.is_some_and(|departure| departure.incarnation == backend.incarnation)
     }
 
-    /// The servers, and when they said so last.
+    /// Returns the servers with the time of their last announcement.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&id::Backend, Time)> {
         self.0.iter().map(|(name, departure)| (name, departure.at))
     }
 
-    /// Forgets the words that are older than `kept` says of their server, and returns these servers.
+    /// Removes the announcements older than `retention` gives for their server, and returns these
+    /// servers.
     pub(super) fn expire(
         &mut self,
-        kept: impl Fn(&id::Backend) -> Option<Millis>,
+        retention: impl Fn(&id::Backend) -> Option<Millis>,
         now: Time,
     ) -> Vec<id::Backend> {
-        let is_over = |name: &id::Backend, departure: &Departure| {
-            kept(name).is_some_and(|kept| now.since(departure.at) >= kept)
+        let is_expired = |name: &id::Backend, departure: &Departure| {
+            retention(name).is_some_and(|retention| now.since(departure.at) >= retention)
         };
-        let words = self.0.iter();
-        let over = words.filter(|(name, departure)| is_over(name, departure));
-        let over: Vec<id::Backend> = over.map(|(name, _)| name.clone()).collect();
-        for name in &over {
+        let departures = self.0.iter();
+        let expired = departures.filter(|(name, departure)| is_expired(name, departure));
+        let expired: Vec<id::Backend> = expired.map(|(name, _)| name.clone()).collect();
+        for name in &expired {
             self.0.remove(name);
         }
-        over
+        expired
     }
 }
--- a/src/fleet/ending.rs
+++ b/src/fleet/ending.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave and tell how long they still run.
+//! Backend servers that are leaving and state how long they will keep running.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,22 @@
     unit::{Millis, Time},
 };
 
-/// How a server leaves.
+/// Announced end of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// When that became known.
+    /// When the end was first announced to this box.
     pub heard: Time,
-    /// When it is gone, whatever runs there.
+    /// When the server stops, whether or not requests are still running there.
     pub at: Time,
 }
 
-/// All of them that are known.
+/// Known ends by server name, with the incarnation that announced them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ending(BTreeMap<id::Backend, (Option<Incarnation>, End)>);
 
 impl Ending {
-    /// Takes in what a server's registration says. What one life says is told again as it was first
-    /// written, so the earliest end holds.
+    /// Records what a server's registration says. One incarnation's remaining time is repeated as
+    /// it was first written, so the earliest end is kept.
     pub(super) fn note(&mut self, backend: &Backend, now: Time) {
         let left = backend.time_left.filter(|_| backend.leaving);
         let Some(left) = left else {
@@ -41,12 +41,12 @@
             .insert(backend.name.clone(), (backend.incarnation, end));
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server that is gone.
     pub(super) fn forget(&mut self, name: &id::Backend) {
         self.0.remove(name);
     }
 
-    /// How long a server still runs, where it tells.
+    /// Returns how much longer a server keeps running, if it states that.
     pub(super) fn left(&self, name: &id::Backend, now: Time) -> Option<Millis> {
         self.0.get(name).map(|(_, end)| end.at.since(now))
     }
@@ -57,7 +57,8 @@
 }
 
 impl Fleet {
-    /// The servers that leave and tell how long they still run, in the order of their names.
+    /// Returns the servers that are leaving and state how long they will keep running, sorted by
+    /// name.
     pub fn ending(&self) -> impl Iterator<Item = (&id::Backend, End)> {
         self.ending.iter()
     }
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -1,4 +1,4 @@
-//! What backend servers are looked up by: service and region, or the short form of a name.
+//! Indexes of backend servers by service and region, and by the hash of their name.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,16 +8,17 @@
     wire::Short,
 };
 
-/// The servers of a service in a region.
+/// Servers of one service in one region.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
-    /// In their order.
+    /// Sorted names.
     pub(super) names: Vec<id::Backend>,
-    /// By the hash of their names, so that a few can be found for a key without looking at all.
+    /// Hashes of the names, so that a few servers can be found for a key without a scan of all.
     ring: BTreeSet<Short>,
 }
 
-/// Each change touches its own server alone: thousands register one after another.
+/// Lookup tables; a change touches only the entries of its own server, because thousands of servers
+/// register one after another.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     groups: HashMap<Service, HashMap<Region, Group>>,
@@ -58,24 +59,24 @@
         }
     }
 
-    /// The name that `short` stands for.
-    pub(super) fn long(&self, short: Short) -> Option<&id::Backend> {
+    /// Returns the full name for the hash `short`.
+    pub(super) fn name_of(&self, short: Short) -> Option<&id::Backend> {
         self.shorts.get(&short)
     }
 
-    /// The services that any server serves.
+    /// Returns the services that any server provides.
     pub(super) fn services(&self) -> impl Iterator<Item = &Service> {
         self.groups.keys()
     }
 
-    /// The servers of `region` that serve `service`.
+    /// Returns the servers of `region` that serve `service`.
     pub(super) fn group(&self, service: &Service, region: &Region) -> Option<&Group> {
         self.groups.get(service)?.get(region)
     }
 
-    /// The same in the order of a ring that begins at `key`: it is the same at every box, and one server that
-    /// comes or goes moves no other.
-    pub(super) fn around(
+    /// Returns the servers of `region` that serve `service` in ring order from `key`. The order is
+    /// the same at every box, and adding or removing one server does not move any other.
+    pub(super) fn ring_from(
         &self,
         service: &Service,
         region: &Region,
@@ -83,8 +84,8 @@
     ) -> impl Iterator<Item = &id::Backend> {
         let ring = self.group(service, region).map(|group| &group.ring);
         let start = Short((key ^ (key >> 32)) as u32);
-        let around = ring.map(|ring| ring.range(start..).chain(ring.range(..start)));
-        let around = around.into_iter().flatten();
-        around.filter_map(|short| self.long(*short))
+        let hashes = ring.map(|ring| ring.range(start..).chain(ring.range(..start)));
+        let hashes = hashes.into_iter().flatten();
+        hashes.filter_map(|short| self.name_of(*short))
     }
 }
--- a/src/fleet/revision.rs
+++ b/src/fleet/revision.rs
@@ -1,10 +1,10 @@
-//! How far what a box knows of the platform's store goes.
+//! Revisions of the platform's store, which state how current a box's knowledge is.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store has come back from a copy; it only grows.
+/// Number of times the store was restored from a copy; it only grows.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,20 +16,20 @@
     }
 }
 
-/// The store's count of all its changes. A store that comes back from a copy gives numbers out again, so they
-/// compare within one era only, and all of a later era are newer.
+/// The store's change counter. A store restored from a copy issues numbers again, so numbers are
+/// comparable only within one era, and every revision of a later era is newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// The era in which the store gave the number out.
+    /// Era in which the store issued the number.
     pub era: Era,
-    /// The number.
+    /// Number of the change within the era.
     pub number: u64,
 }
 
 impl Revision {
-    /// A number of a store that has not come back from any copy.
+    /// Returns a revision of a store that was never restored from a copy.
     pub const fn first(number: u64) -> Self {
         let era = Era(0);
         Self { era, number }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A text that is no revision.
+/// Error for a text that is not a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError;
 
--- a/src/member/census.rs
+++ b/src/member/census.rs
@@ -1,9 +1,10 @@
-//! How many boxes share what is bounded over the whole fleet.
+//! Counts of the boxes that share a limit on the whole fleet.
 //!
-//! Load pattern: boxes stop in turn, end together, or lose each other for some seconds, while each of them spends its
-//! share of a common bound. A box that is not heard may still spend, or has just spent, and a box that divides by those
-//! it hears takes their shares as well. So the largest number of boxes that was seen counts for a while, and a region
-//! that was never heard counts as large as the largest known one.
+//! Load pattern: boxes stop in turn, crash together, or lose contact for some seconds, while each
+//! of them spends its share of a common limit. A silent box may still be spending, or has just
+//! spent, its share, and a box that divides the limit by the boxes it hears takes over their shares
+//! as well. The largest recent number of boxes is therefore kept for a while, and a region that was
+//! never heard counts as large as the largest known one.
 
 use std::collections::BTreeMap;
 
@@ -13,51 +14,52 @@
     unit::{Millis, Time},
 };
 
-/// How long a number of boxes counts at least after it was last seen: longer than boxes lose each other for.
-const HOLD: Millis = Millis(600_000);
+/// Minimum time for which a box count is kept after it was last seen; longer than boxes lose
+/// contact for.
+const PEAK_RETENTION: Millis = Millis(600_000);
 
-/// The largest number within the last [`HOLD`], and up to twice as long.
+/// Largest count within the last [`PEAK_RETENTION`], or up to twice as long.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
-    /// The largest one of the period before.
-    before: usize,
-    /// The largest one of this period.
-    most: usize,
-    /// When this period began.
-    since: Time,
+    /// Largest count of the previous period.
+    previous: usize,
+    /// Largest count of the current period.
+    current: usize,
+    /// Start of the current period.
+    started: Time,
 }
 
 impl Peak {
-    fn note(&mut self, count: usize, now: Time) {
-        if now.since(self.since) >= HOLD {
-            self.before = std::mem::take(&mut self.most);
-            self.since = now;
+    fn record(&mut self, count: usize, now: Time) {
+        if now.since(self.started) >= PEAK_RETENTION {
+            self.previous = std::mem::take(&mut self.current);
+            self.started = now;
         }
-        self.most = self.most.max(count);
+        self.current = self.current.max(count);
     }
 
-    fn held(&self) -> usize {
-        self.before.max(self.most)
+    fn max(&self) -> usize {
+        self.previous.max(self.current)
     }
 }
 
-/// The boxes of this region and of the others.
+/// Box counts of this region and of the other regions.
 #[derive(Debug, Default)]
 pub(super) struct Census {
-    here: Peak,
-    away: BTreeMap<Region, Peak>,
+    local: Peak,
+    remote: BTreeMap<Region, Peak>,
 }
 
 impl Census {
-    /// Notes how many boxes of this region are live, this one included.
-    pub(super) fn note_here(&mut self, boxes: usize, now: Time) {
-        self.here.note(boxes, now);
+    /// Records the number of live boxes of this region, including this one.
+    pub(super) fn record_local(&mut self, boxes: usize, now: Time) {
+        self.local.record(boxes, now);
     }
 
-    /// Notes how many boxes another region told of.
-    pub(super) fn note_away(&mut self, region: &Region, boxes: usize, now: Time) {
-        let peak = self.away.entry(region.clone()).or_default();
-        peak.note(boxes, now);
+    /// Records the number of boxes that another region reported.
+    pub(super) fn record_remote(&mut self, region: &Region, boxes: usize, now: Time) {
+        let peak = self.remote.entry(region.clone()).or_default();
+        peak.record(boxes, now);
     }
 }
 
@@ -65,24 +67,25 @@
     /// Counts the live boxes of this region.
     pub fn count_boxes(&mut self, now: Time) {
         let boxes = self.live(now).count() + 1;
-        self.census.note_here(boxes, now);
+        self.census.record_local(boxes, now);
     }
 
-    /// The boxes that share what is bounded over the fleet, this one included, where `others` are the other regions;
-    /// none where this box has never heard another one, though `expected`.
+    /// Returns the number of boxes that share a limit on the whole fleet, including this one, where
+    /// `others` are the other regions; `None` if other boxes are `expected` but this box has never
+    /// heard one.
     pub fn sharers(&self, others: &[Region], expected: bool) -> Option<usize> {
-        let here = self.census.here.held().max(1);
-        let away = &self.census.away;
-        if expected && here == 1 && away.is_empty() {
+        let local = self.census.local.max().max(1);
+        let remote = &self.census.remote;
+        if expected && local == 1 && remote.is_empty() {
             return None;
         }
         let known: Vec<usize> = others
             .iter()
-            .filter_map(|r| away.get(r))
-            .map(Peak::held)
+            .filter_map(|r| remote.get(r))
+            .map(Peak::max)
             .collect();
-        let largest = known.iter().copied().max().unwrap_or(0).max(here);
+        let largest = known.iter().copied().max().unwrap_or(0).max(local);
         let unheard = others.len() - known.len();
-        Some(here + known.iter().sum::<usize>() + unheard * largest)
+        Some(local + known.iter().sum::<usize>() + unheard * largest)
     }
 }
--- a/src/member/hubs.rs
+++ b/src/member/hubs.rs
@@ -1,7 +1,8 @@
-//! The hubs of a large region: who they are, and what goes through them.
+//! Hubs of a large region: their selection and the data that passes through them.
 //!
-//! Each failure domain has two, chosen by rank without a word between the boxes. Where boxes disagree
-//! for a moment, a report goes to a box that does not pass it on, and the next one comes right.
+//! Each failure domain has two, selected by rank without coordination between the boxes. While
+//! boxes disagree, a report may go to a box that does not forward it; the next report reaches the
+//! right one.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -16,40 +17,41 @@
     wire::{Contact, Report, Share, Short},
 };
 
-/// Boxes of a failure domain that gather what its boxes see of backend servers: two, so that one is
-/// left while the end of the other is not noticed yet.
-const HUBS: usize = 2;
-/// The duty of a hub, for its rank.
-const HUB_DUTY: &str = "hub";
+/// Number of boxes in a failure domain that aggregate what its boxes observe of backend servers:
+/// two, so that one remains while the failure of the other has not been detected yet.
+const HUBS_PER_DOMAIN: usize = 2;
+/// Role name used to rank hubs.
+const HUB_ROLE: &str = "hub";
 
-/// The hubs of this box's failure domain.
+/// Hubs of this box's failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hubs {
-    /// Whether this box is one.
+    /// Whether this box is a hub.
     pub mine: bool,
-    /// The listeners of the others.
+    /// Gossip addresses of the other hubs.
     pub others: Vec<SocketAddr>,
 }
 
 impl Table {
-    /// Whether the hubs tell how the region uses its backend servers.
+    /// Reports whether current usage sums from the hubs are available.
     pub fn knows_usages(&self, now: Time) -> bool {
         self.tally.is_fresh(now)
     }
 
-    /// Whether other boxes of this region found that a backend server is gone.
+    /// Reports whether other boxes of this region found a backend server to be unreachable.
     pub fn is_down(&self, backend: Short, now: Time) -> bool {
         self.knows_usages(now) && self.tally.is_down(backend)
     }
 
-    /// Whether this region is so large that hubs gather what its boxes see of backend servers.
+    /// Reports whether this region is large enough for hubs to aggregate what its boxes observe of
+    /// backend servers.
     pub fn has_hubs(&self) -> bool {
         self.heartbeat_period() > HEARTBEAT
     }
 
-    /// The hubs of this box's failure domain.
+    /// Returns the hubs of this box's failure domain.
     ///
-    /// This box may be one where it is `ready`.
+    /// This box is a candidate only if it is `ready`.
     pub fn hubs(&self, ready: bool, now: Time) -> Hubs {
         let mine = Some((&self.me, self.room)).filter(|_| ready);
         let here = self.ready(now).map(|p| (&p.last.contact, p.last.room));
@@ -63,7 +65,7 @@
         }
     }
 
-    /// The listeners of the hubs of the other failure domains of this region.
+    /// Returns the gossip addresses of the hubs of the other failure domains of this region.
     pub fn other_hubs(&self, now: Time) -> Vec<SocketAddr> {
         let mut domains: BTreeMap<&Domain, Vec<(&Contact, Room)>> = BTreeMap::new();
         for peer in self.ready(now) {
@@ -80,54 +82,56 @@
         hubs.map(|contact| contact.gossip).collect()
     }
 
-    /// The listeners of the other live boxes of this failure domain.
+    /// Returns the gossip addresses of the other live boxes of this failure domain.
     pub fn neighbours(&self, now: Time) -> Vec<SocketAddr> {
         let here = self.live(now).map(|p| &p.last.contact);
         let here = here.filter(|c| c.domain == self.me.domain);
         here.map(|contact| contact.gossip).collect()
     }
 
-    /// Notes what this box tells of its own use of backend servers.
+    /// Records the report on its own use of backend servers that this box sends.
     pub fn tell_report(&mut self, report: &Report) {
-        self.tally.tell(report);
+        self.tally.record_sent(report);
     }
 
-    /// As a hub, takes what a box tells of its use of backend servers.
+    /// Records a report received from a box (on hubs).
     pub fn hear_report(&mut self, from: &BoxName, report: Report, now: Time) {
-        self.tally.report(from.clone(), report, now);
+        self.tally.record_report(from.clone(), report, now);
     }
 
-    /// As a hub, adds up what is known, with this box's own `report`; its failure domain stands first.
+    /// Aggregates the known reports with this box's own `report` (on hubs); the share of its own
+    /// failure domain comes first.
     pub fn sum_up(&mut self, report: Report, now: Time) -> Vec<Share> {
-        self.tally.report(self.me.name.clone(), report, now);
+        self.tally.record_report(self.me.name.clone(), report, now);
         let shares = self.tally.sum_up(&self.me.domain, now);
-        self.tally.take(&shares, now);
+        self.tally.replace_sums(&shares, now);
         shares
     }
 
-    /// Takes sums from a hub of this failure domain, or from one of another; true for the first.
+    /// Applies sums received from a hub of this failure domain, or of another one; returns `true`
+    /// for the former.
     pub fn hear_tally(&mut self, from: &BoxName, shares: &[Share], now: Time) -> bool {
         let domain = self.peer(from).map(|p| p.last.contact.domain.clone());
         if domain.as_ref() == Some(&self.me.domain) {
-            self.tally.take(shares, now);
+            self.tally.replace_sums(shares, now);
             return true;
         }
         for share in shares.iter().filter(|s| Some(&s.domain) == domain.as_ref()) {
-            self.tally.share(share.clone(), now);
+            self.tally.record_share(share.clone(), now);
         }
         false
     }
 }
 
-/// Those of `boxes` that rank first as hubs.
+/// Returns the highest-ranked `boxes`, which are the hubs.
 fn top_hubs<'a>(
     boxes: impl IntoIterator<Item = (&'a Contact, Room)>,
     scale: Scale,
 ) -> Vec<&'a Contact> {
     let mut ranked: Vec<_> = boxes.into_iter().collect();
     ranked.sort_by_cached_key(|(contact, room)| {
-        std::cmp::Reverse(Rank::of(&contact.name, *room, HUB_DUTY, scale))
+        std::cmp::Reverse(Rank::of(&contact.name, *room, HUB_ROLE, scale))
     });
-    ranked.truncate(HUBS);
+    ranked.truncate(HUBS_PER_DOMAIN);
     ranked.into_iter().map(|(contact, _)| contact).collect()
 }
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other box, or of one other region.
+//! State of one other box, or of one other region.
 
 use std::net::SocketAddr;
 
@@ -8,89 +8,91 @@
     wire::{Digest, Heartbeat, Short},
 };
 
-/// Messages that may be missed before a box or a region is not used.
-pub(super) const MISSED: u64 = 3;
-/// Share of its free slots that a returned region gets at once.
-const RAMP_START: f64 = 0.2;
-/// How long a returned region takes to its full share.
-const RAMP: Millis = Millis(10_000);
+/// Number of consecutive messages that may be missed before a box or a region is no longer used.
+pub(super) const MAX_MISSED: u64 = 3;
+/// Share of its free slots that a region may use right after it is heard again.
+const RAMP_START_SHARE: f64 = 0.2;
+/// Time until a region that is heard again reaches its full share.
+const RAMP_DURATION: Millis = Millis(10_000);
 
 /// Another box of this region.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
-    /// Its last heartbeat.
+    /// Last heartbeat received.
     pub last: Heartbeat,
-    /// When that came.
+    /// When that heartbeat was received.
     pub heard: Time,
-    /// Whether it is taken for dead although it could still be heard by its own pace.
+    /// Whether the box is considered failed although its announced heartbeat period has not
+    /// elapsed.
     pub suspected: bool,
-    /// Since when it should have been heard, where it is this box's to notice.
-    pub(super) doubted: Option<Time>,
+    /// Since when a heartbeat has been overdue, if this box is responsible for detecting that.
+    pub(super) overdue_since: Option<Time>,
 }
 
 impl Peer {
-    /// Whether it is used at `now`.
+    /// Reports whether the box is considered live at `now`.
     pub(super) fn is_live(&self, now: Time) -> bool {
-        !self.suspected && now.since(self.heard) <= Millis(MISSED * self.last.pace.0)
+        !self.suspected && now.since(self.heard) <= Millis(MAX_MISSED * self.last.pace.0)
     }
 
-    /// Its clock at `now`: never ahead of its real one.
+    /// Returns a lower bound of the box's clock at `now`.
     pub fn uptime(&self, now: Time) -> Time {
         self.last.uptime + now.since(self.heard)
     }
 }
 
-/// What is done about a box that is not heard.
+/// Action on a silent box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It is asked whether it lives.
+    /// The box is asked whether it is alive.
     Probed,
-    /// The others are told.
+    /// The other boxes are notified.
     Suspected,
 }
 
-/// A box that was to be heard here and is not.
+/// Silent box whose heartbeats this box should have received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
-    /// Its listener, where it can still hear of this.
+    /// Gossip address of the box, in case it can still receive the suspicion.
     pub gossip: SocketAddr,
-    /// How long it has not been heard.
+    /// How long the box has been silent.
     pub silent: Millis,
-    /// What is done about it.
+    /// Action that is due.
     pub stage: Stage,
 }
 
 /// Another region.
 #[derive(Clone, Debug)]
 pub struct Remote {
-    /// Its last digest.
+    /// Last digest received.
     pub digest: Digest,
-    /// When that came.
+    /// When that digest was received.
     pub heard: Time,
-    /// When the region was last heard of anew after a silence; none for the first time.
-    pub returned: Option<Time>,
-    /// Requests sent there since the digest that have not ended.
+    /// When the region was heard again after a silence; `None` if it never was silent.
+    pub recovered_at: Option<Time>,
+    /// Requests relayed since the digest that have not ended.
     pub sent: u32,
-    /// Until when it is left alone, because it refused a request.
+    /// Until when no requests are relayed there because the region refused one.
     pub cool_until: Time,
 }
 
 impl Remote {
-    /// Free slots for `service` at `now`: the digest's, less what went there since, slowly at first.
+    /// Returns the free slots for `service` at `now`: those of the digest, limited by the ramp-up,
+    /// less the requests relayed since.
     pub fn free(&self, service: Short, now: Time) -> u32 {
         let Some(capacity) = self.digest.services.iter().find(|c| c.service == service) else {
             return 0;
         };
         let free = capacity.slots.saturating_sub(capacity.busy);
-        let share = self.returned.map_or(1.0, |from| {
-            let part = now.since(from).0 as f64 / RAMP.0 as f64;
-            (RAMP_START + (1.0 - RAMP_START) * part).min(1.0)
+        let share = self.recovered_at.map_or(1.0, |recovered_at| {
+            let part = now.since(recovered_at).0 as f64 / RAMP_DURATION.0 as f64;
+            (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * part).min(1.0)
         });
         let usable = (f64::from(free) * share).ceil() as u32;
         usable.saturating_sub(self.sent)
--- a/src/member/room.rs
+++ b/src/member/room.rs
@@ -1,4 +1,4 @@
-//! What the boxes of the region can carry, and how full they are beside each other.
+//! Capacity of the boxes of a region, and their load relative to each other.
 
 use crate::{
     member::{Table, rank::Rank},
@@ -8,31 +8,32 @@
 };
 
 impl Table {
-    /// The weight that a box counts with where it does not tell its own: the middle one of those that are
-    /// told, so that the first box of several that tells hers stands out from none.
+    /// Returns the weight assumed for a box that announces none: the median of the announced
+    /// weights, so that the first of several boxes to announce one does not differ from the others.
     pub fn usual_weight(&self, now: Time) -> Weight {
-        let told = self.live(now).filter_map(|p| p.last.room.weight);
-        let mut told: Vec<Weight> = told.chain(self.room.weight).collect();
-        told.sort_unstable();
-        let middle = told.len().saturating_sub(1) / 2;
-        told.get(middle).copied().unwrap_or(Weight::USUAL)
+        let weights = self.live(now).filter_map(|p| p.last.room.weight);
+        let mut weights: Vec<Weight> = weights.chain(self.room.weight).collect();
+        weights.sort_unstable();
+        let middle = weights.len().saturating_sub(1) / 2;
+        weights.get(middle).copied().unwrap_or(Weight::USUAL)
     }
 
-    /// A box of this region that takes work, to fetch a list from: each box prefers another one, large ones are
-    /// preferred by more, and those whose bytes stay in the failure domain go first.
+    /// Returns a box of this region that takes work, to fetch a list from. Boxes in this failure
+    /// domain come first, each box prefers another one, and large boxes are preferred by more
+    /// boxes.
     pub fn sender(&self, now: Time) -> Option<&Contact> {
         let scale = self.scale(now);
         let near = self.ready(now).map(|p| &p.last);
-        let sender = near.max_by_key(|beat| {
-            let contact = &beat.contact;
+        let sender = near.max_by_key(|heartbeat| {
+            let contact = &heartbeat.contact;
             let here = contact.domain == self.me.domain;
-            let duty = self.me.name.as_str();
-            (here, Rank::of(&contact.name, beat.room, duty, scale))
+            let role = self.me.name.as_str();
+            (here, Rank::of(&contact.name, heartbeat.room, role, scale))
         });
-        sender.map(|beat| &beat.contact)
+        sender.map(|heartbeat| &heartbeat.contact)
     }
 
-    /// The room of a box of this region, as far as it is told.
+    /// Returns the capacity of a box of this region, as far as it is known.
     pub fn room_of(&self, contact: &Contact) -> Room {
         if contact.name == self.me.name {
             return self.room;
@@ -41,27 +42,28 @@
         peer.map_or(Room::default(), |p| p.last.room)
     }
 
-    /// How much more than the boxes of the region that take work, this one included, it has in hand for its
-    /// weight, where it has `busy`; none where all count alike.
+    /// Returns the ratio of this box's requests in flight per weight, at `busy` requests, to that
+    /// of all boxes of the region that take work, including this one; `None` if all weights are
+    /// equal or no requests are in flight.
     pub fn crowding(&self, busy: u32, now: Time) -> Option<f64> {
         let usual = self.usual_weight(now);
         let weight = |room: Room| f64::from(room.weight.unwrap_or(usual).number());
         let mine = weight(self.room);
-        let (mut requests, mut carried, mut differ) = (f64::from(busy), mine, false);
+        let (mut requests, mut total_weight, mut differ) = (f64::from(busy), mine, false);
         for peer in self.live(now).filter(|p| p.last.phase == Phase::Ready) {
             let theirs = weight(peer.last.room);
             requests += f64::from(peer.last.busy);
-            carried += theirs;
+            total_weight += theirs;
             differ |= theirs != mine;
         }
-        (differ && requests > 0.0).then(|| f64::from(busy) / mine * carried / requests)
+        (differ && requests > 0.0).then(|| f64::from(busy) / mine * total_weight / requests)
     }
 }
 
-/// Requests in hand for a box's weight, for an order: where all weights are equal, the order of the
-/// requests in hand.
+/// Returns the requests in flight relative to a box's weight, as a sort key: with equal weights, it
+/// sorts by the requests in flight.
 pub fn load(busy: u32, weight: Weight) -> u64 {
-    /// Keeps one request more apart at the highest weight.
-    const FINE: u64 = 1 << 20;
-    (u64::from(busy) + 1) * FINE / u64::from(weight.number())
+    /// Scale factor that keeps a difference of one request distinct at the highest weight.
+    const RESOLUTION: u64 = 1 << 20;
+    (u64::from(busy) + 1) * RESOLUTION / u64::from(weight.number())
 }
--- a/src/member/tally.rs
+++ b/src/member/tally.rs
@@ -1,13 +1,13 @@
-//! How the boxes of a region use its backend servers, told several times a second.
+//! Aggregated use of a region's backend servers, sent several times a second.
 //!
-//! Load pattern: a region of many boxes before few servers. Of a hundred boxes each sees seven requests
-//! a second, next to nothing of what a server gets, and the heartbeats of all to all come only every
-//! 15 s, since their bytes must stay bounded. Placed by such old word, requests pile up at one server
-//! while others are free, and each box finds out by itself that a server is gone.
+//! Load pattern: a region of many boxes in front of few servers. Each of a hundred boxes sees seven
+//! requests a second, a small part of what a server gets, and the heartbeats between all boxes come
+//! only every 15 s, since their traffic must stay bounded. With such old data, requests pile up at
+//! one server while others are free, and each box has to find out by itself that a server is gone.
 //!
-//! So two boxes of each failure domain, its hubs, gather what its boxes see, exchange the sums with the
-//! hubs of the other domains, and tell the boxes the sums of the region. The messages of a box don't
-//! grow with the region, and few bytes leave a failure domain.
+//! Two boxes of each failure domain, its hubs, therefore collect the reports of its boxes, exchange
+//! the sums with the hubs of the other domains, and send the sums of the region to their boxes. The
+//! messages of a box don't grow with the region, and few bytes leave a failure domain.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -19,192 +19,193 @@
     wire::{Report, Share, Short, Trial, Usage, Use},
 };
 
-/// Word older than this is not used: five messages were missed.
-const FRESH: Millis = Millis(1000);
-/// So many boxes must have missed a server before the others leave it alone: one alone may be cut off
-/// itself.
-const WITNESSES: u32 = 2;
+/// Maximum age of reports and sums that are used, equal to five missed messages.
+const MAX_AGE: Millis = Millis(1000);
+/// Number of boxes that must have failed to reach a server before the others avoid it: a single box
+/// may be disconnected itself.
+const UNREACHABLE_QUORUM: u32 = 2;
 
-/// What was told at some moment.
+/// Report with the time of its receipt.
 #[derive(Debug)]
-struct Told {
+struct Received {
     report: Report,
     at: Time,
 }
 
-impl Told {
+impl Received {
     fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.at) <= FRESH
+        now.since(self.at) <= MAX_AGE
     }
 }
 
-/// What a box knows of the use of its region's backend servers.
+/// Knowledge of a box of the use of its region's backend servers.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    /// At a hub, what the boxes of its failure domain told.
-    reports: HashMap<BoxName, Told>,
-    /// At a hub, the sums of the other failure domains.
-    shares: BTreeMap<Domain, Told>,
-    /// The sums of the region, this box included, and when they came.
+    /// On a hub, the reports of the boxes of its failure domain.
+    reports: HashMap<BoxName, Received>,
+    /// On a hub, the sums of the other failure domains.
+    shares: BTreeMap<Domain, Received>,
+    /// Sums of the region, including this box, and when they were received.
     sums: HashMap<Short, Usage>,
-    summed: Option<Time>,
-    /// This box's own work at each server as it was told last: the sums hold it.
-    mine: HashMap<Short, u32>,
-    /// The customers' use in the region, and this box's own of it, in the same way.
+    summed_at: Option<Time>,
+    /// This box's own attempts in flight at each server as last reported; the sums include them.
+    own_busy: HashMap<Short, u32>,
+    /// Customers' use in the region, and this box's own part of it as last reported.
     uses: HashMap<Short, Sum>,
     own_uses: HashMap<Short, Sum>,
-    /// What the region has seen of roll-outs.
+    /// Roll-out observations of the region.
     trials: Vec<Trial>,
-    /// The failure domains whose sums those are.
+    /// Failure domains included in the sums.
     domains: BTreeSet<Domain>,
 }
 
-fn add(sums: &mut HashMap<Short, Usage>, usages: &[Usage]) {
+fn add_usages(sums: &mut HashMap<Short, Usage>, usages: &[Usage]) {
     for usage in usages {
-        let nothing = Usage {
+        let zero = Usage {
             busy: 0,
             answered: 0,
             unreachable: 0,
             ..*usage
         };
-        let sum = sums.entry(usage.backend).or_insert(nothing);
+        let sum = sums.entry(usage.backend).or_insert(zero);
         sum.busy += usage.busy;
         sum.answered += usage.answered;
         sum.unreachable += usage.unreachable;
     }
 }
 
-/// Adds up what boxes have seen of roll-outs.
+/// Adds roll-out observations to `sums`.
 pub(super) fn add_trials(sums: &mut Vec<Trial>, trials: &[Trial]) {
     for trial in trials {
         rollout::add_trial(sums, trial);
     }
 }
 
-/// Adds up customers' use.
+/// Adds customers' use to `sums`.
 pub(super) fn add_uses(sums: &mut HashMap<Short, Sum>, uses: &[Use]) {
-    for told in uses {
-        sums.entry(told.customer).or_default().add(told);
+    for usage in uses {
+        sums.entry(usage.customer).or_default().add(usage);
     }
 }
 
-/// Customers' use as it is told, in the order of the customers.
-pub(super) fn told_uses(sums: HashMap<Short, Sum>) -> Vec<Use> {
-    let told = |(customer, sum): (Short, Sum)| Use {
+/// Returns customers' use for sending, sorted by customer.
+pub(super) fn sorted_uses(sums: HashMap<Short, Sum>) -> Vec<Use> {
+    let to_use = |(customer, sum): (Short, Sum)| Use {
         customer,
         used: sum.used as u32,
         offered: sum.offered as u32,
     };
-    let mut uses: Vec<Use> = sums.into_iter().map(told).collect();
-    uses.sort_unstable_by_key(|told| told.customer);
+    let mut uses: Vec<Use> = sums.into_iter().map(to_use).collect();
+    uses.sort_unstable_by_key(|usage| usage.customer);
     uses
 }
 
 impl Tally {
-    /// Notes what this box tells of its own use.
-    pub(super) fn tell(&mut self, report: &Report) {
+    /// Records the report that this box sends on its own use.
+    pub(super) fn record_sent(&mut self, report: &Report) {
         let usages = report.usages.iter();
-        self.mine = usages.map(|u| (u.backend, u.busy)).collect();
+        self.own_busy = usages.map(|u| (u.backend, u.busy)).collect();
         self.own_uses.clear();
         add_uses(&mut self.own_uses, &report.uses);
     }
 
-    /// At a hub, takes what a box of its failure domain told.
-    pub(super) fn report(&mut self, from: BoxName, report: Report, now: Time) {
-        self.reports.insert(from, Told { report, at: now });
+    /// Stores the report of a box of the failure domain (on hubs).
+    pub(super) fn record_report(&mut self, from: BoxName, report: Report, now: Time) {
+        self.reports.insert(from, Received { report, at: now });
     }
 
-    /// At a hub, takes the sums of another failure domain.
-    pub(super) fn share(&mut self, share: Share, now: Time) {
-        let told = Told {
+    /// Stores the sums of another failure domain (on hubs).
+    pub(super) fn record_share(&mut self, share: Share, now: Time) {
+        let received = Received {
             report: share.report,
             at: now,
         };
-        self.shares.insert(share.domain, told);
+        self.shares.insert(share.domain, received);
     }
 
-    /// Takes the sums of the region.
-    pub(super) fn take(&mut self, shares: &[Share], now: Time) {
+    /// Replaces the sums of the region.
+    pub(super) fn replace_sums(&mut self, shares: &[Share], now: Time) {
         self.sums.clear();
         self.uses.clear();
         self.trials.clear();
         self.domains.clear();
         for share in shares {
-            add(&mut self.sums, &share.report.usages);
+            add_usages(&mut self.sums, &share.report.usages);
             add_uses(&mut self.uses, &share.report.uses);
             add_trials(&mut self.trials, &share.report.trials);
             self.domains.insert(share.domain.clone());
         }
-        self.summed = Some(now);
+        self.summed_at = Some(now);
     }
 
-    /// At a hub of `domain`, the sums of each failure domain, its own first.
+    /// Returns the sums of each failure domain, with those of the hub's own `domain` first (on
+    /// hubs).
     pub(super) fn sum_up(&mut self, domain: &Domain, now: Time) -> Vec<Share> {
-        self.reports.retain(|_, told| told.is_fresh(now));
-        self.shares.retain(|_, told| told.is_fresh(now));
+        self.reports.retain(|_, received| received.is_fresh(now));
+        self.shares.retain(|_, received| received.is_fresh(now));
         let (mut own, mut uses, mut trials) = (HashMap::new(), HashMap::new(), Vec::new());
-        for told in self.reports.values() {
-            add(&mut own, &told.report.usages);
-            add_uses(&mut uses, &told.report.uses);
-            add_trials(&mut trials, &told.report.trials);
+        for received in self.reports.values() {
+            add_usages(&mut own, &received.report.usages);
+            add_uses(&mut uses, &received.report.uses);
+            add_trials(&mut trials, &received.report.trials);
         }
         let own = Share {
             domain: domain.clone(),
             report: Report {
                 usages: own.into_values().collect(),
-                uses: told_uses(uses),
+                uses: sorted_uses(uses),
                 trials,
             },
         };
-        let others = self.shares.iter().map(|(domain, told)| Share {
+        let others = self.shares.iter().map(|(domain, received)| Share {
             domain: domain.clone(),
-            report: told.report.clone(),
+            report: received.report.clone(),
         });
         std::iter::once(own).chain(others).collect()
     }
 
-    /// Whether the sums are fresh.
+    /// Reports whether the sums are recent enough to be used.
     pub(super) fn is_fresh(&self, now: Time) -> bool {
-        self.summed.is_some_and(|at| now.since(at) <= FRESH)
+        self.summed_at.is_some_and(|at| now.since(at) <= MAX_AGE)
     }
 
-    /// Attempts that the other boxes have in hand at `backend`.
+    /// Returns the attempts that the other boxes have in flight at `backend`.
     pub(super) fn busy(&self, backend: Short) -> u32 {
         let all = self.sums.get(&backend).map_or(0, |sum| sum.busy);
-        let mine = self.mine.get(&backend).copied().unwrap_or(0);
+        let mine = self.own_busy.get(&backend).copied().unwrap_or(0);
         all.saturating_sub(mine)
     }
 
-    /// Whether no customer's use was told last, or none ever.
-    pub(super) fn is_unused(&self) -> bool {
+    /// Reports whether the last sums contain no customers' use, or none were ever received.
+    pub(super) fn has_no_uses(&self) -> bool {
         self.uses.is_empty()
     }
 
-    /// Customers' use in the region.
+    /// Returns the customers' use in the region.
     pub(super) fn uses(&self) -> &HashMap<Short, Sum> {
         &self.uses
     }
 
-    /// What the region has seen of roll-outs.
+    /// Returns the roll-out observations of the region.
     pub(super) fn trials(&self) -> &[Trial] {
         &self.trials
     }
 
-    /// A customer's use at the other boxes of the region.
+    /// Returns a customer's use at the other boxes of the region.
     pub(super) fn use_elsewhere(&self, customer: Short) -> Sum {
         let all = self.uses.get(&customer).copied().unwrap_or_default();
         let own = self.own_uses.get(&customer).copied().unwrap_or_default();
         all.without(own)
     }
 
-    /// Whether the sums hold those of `domain`.
+    /// Reports whether the sums include those of `domain`.
     pub(super) fn covers(&self, domain: &Domain) -> bool {
         self.domains.contains(domain)
     }
 
-    /// Whether several boxes could not reach `backend` and it answered none.
+    /// Reports whether several boxes could not reach `backend` and no box got an answer from it.
     pub(super) fn is_down(&self, backend: Short) -> bool {
         let sum = self.sums.get(&backend);
-        sum.is_some_and(|sum| sum.answered == 0 && sum.unreachable >= WITNESSES)
+        sum.is_some_and(|sum| sum.answered == 0 && sum.unreachable >= UNREACHABLE_QUORUM)
     }
 }
--- a/src/memory/cache.rs
+++ b/src/memory/cache.rs
@@ -1,8 +1,8 @@
-//! Which backend servers hold which long parts of prompts, as far as this box knows.
+//! Estimate of which backend servers have which long prompt parts cached.
 //!
-//! A box knows what it sent itself, and hears from the others what they sent. An engine lets the
-//! parts that were unused longest give way, so what was read there since tells when to stop
-//! believing.
+//! A box knows which prompts it sent itself, and the other boxes report theirs. An engine evicts
+//! the parts that were unused longest, so the number of tokens it has read since indicates when a
+//! part is likely to be gone.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,46 +12,46 @@
     wire::{Holding, Short},
 };
 
-/// Shortest part worth knowing about, in tokens; a shorter one is read in a few steps of a batch.
+/// Minimum length in tokens of a tracked part; shorter ones are read within a few steps of a batch.
 pub const LONG: u32 = 1500;
-/// A part that nobody used for this long counts as gone.
-const LIFE: Millis = Millis(60_000);
-/// Parts remembered; the oldest half goes when there are more.
+/// How long after its last use a part is assumed to be cached.
+const PART_RETENTION: Millis = Millis(60_000);
+/// Maximum number of tracked parts; the least recently used half is dropped beyond that.
 const MAX_PARTS: usize = 8192;
-/// Part of an engine's memory that cached parts may fill before the oldest gives way: the rest
-/// holds requests that run, and what this box does not hear of.
-const USABLE: f64 = 0.6;
+/// Fraction of an engine's memory that cached parts may fill before the oldest are evicted; the
+/// rest holds running requests and parts unknown to this box.
+const CACHE_FRACTION: f64 = 0.6;
 
-/// One engine's copy of a part.
+/// Cached copy of a part at one engine.
 #[derive(Clone, Copy, Debug)]
-struct Copy {
+struct CachedCopy {
     backend: Short,
     /// When it was last used.
     at: Time,
-    /// What the engine had read in all at that time, in tokens.
-    read: u64,
+    /// Total tokens that the engine had read by then.
+    total_read: u64,
 }
 
-/// What this box knows of all engines' caches.
+/// Estimated contents of all engines' prompt caches.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
-    parts: HashMap<u64, Vec<Copy>>,
-    read: HashMap<Short, u64>,
-    /// Engines that another box told of, or that told of themselves.
+    parts: HashMap<u64, Vec<CachedCopy>>,
+    total_read: HashMap<Short, u64>,
+    /// Engines whose contents were reported by another box or by the engine itself.
     learned: HashSet<Short>,
-    /// Engines whose own word of what they keep reaches this box, and until when it is taken for that.
-    told: HashMap<Short, Time>,
+    /// Engines whose own cache reports reach this box, and until when they are considered current.
+    reported_until: HashMap<Short, Time>,
 }
 
 impl Cache {
-    /// Notes that `backend` reads `tokens` and then holds `part`.
+    /// Records that `backend` reads `tokens` and then has `part` cached.
     pub fn note(&mut self, backend: Short, part: Option<Part>, tokens: u32, now: Time) {
-        let read = self.read.entry(backend).or_default();
+        let read = self.total_read.entry(backend).or_default();
         *read += u64::from(tokens);
-        let copy = Copy {
+        let copy = CachedCopy {
             backend,
             at: now,
-            read: *read,
+            total_read: *read,
         };
         let Some(part) = part else {
             return;
@@ -60,24 +60,24 @@
         copies.retain(|c| c.backend != backend);
         copies.push(copy);
         if self.parts.len() > MAX_PARTS {
-            self.shrink();
+            self.evict_oldest();
         }
     }
 
-    fn shrink(&mut self) {
-        let last = |copies: &Vec<Copy>| copies.iter().map(|c| c.at).max().unwrap_or_default();
+    fn evict_oldest(&mut self) {
+        let last = |copies: &Vec<CachedCopy>| copies.iter().map(|c| c.at).max().unwrap_or_default();
         let mut uses: Vec<Time> = self.parts.values().map(last).collect();
         uses.sort_unstable();
         let oldest = uses[uses.len() / 2];
         self.parts.retain(|_, copies| last(copies) >= oldest);
     }
 
-    /// Whether anything is known of what `backend` holds.
+    /// Reports whether anything is known of the contents of `backend`.
     pub fn knows(&self, backend: Short) -> bool {
-        self.read.contains_key(&backend) || self.learned.contains(&backend)
+        self.total_read.contains_key(&backend) || self.learned.contains(&backend)
     }
 
-    /// Whether `backend`, with room for `memory` tokens, likely holds the part.
+    /// Reports whether `backend`, whose memory fits `memory` tokens, likely has the part cached.
     pub fn holds(&self, backend: Short, part: u64, memory: Option<u64>, now: Time) -> bool {
         let copies = self.parts.get(&part).map_or(&[][..], Vec::as_slice);
         let Some(copy) = copies.iter().find(|c| c.backend == backend) else {
@@ -86,19 +86,20 @@
         if self.is_told(backend, now) {
             return true;
         }
-        let read = self.read.get(&backend).copied().unwrap_or_default();
-        let room = memory.map_or(u64::MAX, |tokens| (tokens as f64 * USABLE) as u64);
-        now.since(copy.at) < LIFE && read - copy.read < room
+        let read = self.total_read.get(&backend).copied().unwrap_or_default();
+        let capacity = memory.map_or(u64::MAX, |tokens| (tokens as f64 * CACHE_FRACTION) as u64);
+        now.since(copy.at) < PART_RETENTION && read - copy.total_read < capacity
     }
 
-    /// The backend servers that were sent `part`, whether or not they still hold it.
+    /// Returns the backend servers that were sent `part` or reported as having it cached, whether
+    /// or not they still do.
     pub fn holders(&self, part: u64) -> impl Iterator<Item = Short> {
         let copies = self.parts.get(&part).into_iter().flatten();
         copies.map(|copy| copy.backend)
     }
 
-    /// Tokens of `prompt` that `backend` has to read: a part counts as held only if every part
-    /// before it does. Short shared parts are not followed and count as held.
+    /// Returns the tokens of `prompt` that `backend` has to read. A part counts as cached only if
+    /// every part before it is; short shared parts are not tracked and count as cached.
     pub fn unread(&self, prompt: &Prompt, backend: Short, memory: Option<u64>, now: Time) -> u32 {
         let shared = prompt.shared_parts().iter();
         let held = |part: &&Part| part.tokens < LONG || self.holds(backend, part.id, memory, now);
@@ -106,10 +107,10 @@
         prompt.tokens.saturating_sub(read)
     }
 
-    /// The copies of parts that were used last, for a box that knows nothing yet.
+    /// Returns up to `most` most recently used copies, for a box without any data.
     pub fn holdings(&self, most: usize) -> Vec<Holding> {
         let copies = self.parts.iter().flat_map(|(part, copies)| {
-            let holding = move |copy: &Copy| {
+            let holding = move |copy: &CachedCopy| {
                 let backend = copy.backend;
                 (
                     copy.at,
@@ -127,73 +128,82 @@
         copies.into_iter().map(|(_, holding)| holding).collect()
     }
 
-    /// Takes over what another box knows, where this one knows nothing.
+    /// Adds a copy known to another box, unless this box already knows of it.
     pub fn learn(&mut self, holding: Holding, now: Time) {
         self.learned.insert(holding.backend);
-        let read = self.read.get(&holding.backend).copied().unwrap_or_default();
+        let read = self
+            .total_read
+            .get(&holding.backend)
+            .copied()
+            .unwrap_or_default();
         let copies = self.parts.entry(holding.part).or_default();
         if copies.iter().any(|c| c.backend == holding.backend) {
             return;
         }
-        copies.push(Copy {
+        copies.push(CachedCopy {
             backend: holding.backend,
             at: now,
-            read,
+            total_read: read,
         });
     }
 
-    /// Forgets what `backend` held: it started again.
+    /// Removes everything known of `backend`, which restarted.
     pub fn forget(&mut self, backend: Short) {
-        self.read.remove(&backend);
+        self.total_read.remove(&backend);
         self.learned.remove(&backend);
-        self.told.remove(&backend);
+        self.reported_until.remove(&backend);
         for copies in self.parts.values_mut() {
             copies.retain(|c| c.backend != backend);
         }
         self.parts.retain(|_, copies| !copies.is_empty());
     }
 
-    /// Forgets the engines that `known` does not name.
+    /// Removes the engines for which `known` returns `false`.
     pub fn retain(&mut self, known: impl Fn(Short) -> bool) {
-        self.read.retain(|backend, _| known(*backend));
+        self.total_read.retain(|backend, _| known(*backend));
         self.learned.retain(|backend| known(*backend));
-        self.told.retain(|backend, _| known(*backend));
+        self.reported_until.retain(|backend, _| known(*backend));
         for copies in self.parts.values_mut() {
             copies.retain(|c| known(c.backend));
         }
         self.parts.retain(|_, copies| !copies.is_empty());
     }
 
-    /// Notes that the own word of `backend` reaches this box, at least until `until`.
+    /// Records that cache reports of `backend` itself reach this box, at least until `until`.
     pub fn trust(&mut self, backend: Short, until: Time) {
-        let known = self.told.entry(backend).or_insert(until);
+        let known = self.reported_until.entry(backend).or_insert(until);
         *known = until.max(*known);
     }
 
-    /// Notes that changes in what `backend` keeps were missed.
+    /// Records that cache changes of `backend` were missed.
     pub fn distrust(&mut self, backend: Short) {
-        self.told.remove(&backend);
+        self.reported_until.remove(&backend);
     }
 
-    /// Whether what is known of `backend` is its own word, and not a guess by what was sent there.
+    /// Reports whether what is known of `backend` is based on its own reports rather than estimated
+    /// from the prompts sent there.
     pub fn is_told(&self, backend: Short, now: Time) -> bool {
-        self.told.get(&backend).is_some_and(|until| now < *until)
+        self.reported_until
+            .get(&backend)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Whether `backend` was sent `part`, or told that it keeps it, and nobody told otherwise since.
+    /// Reports whether `backend` was sent `part`, or reported it as cached, and no later report
+    /// contradicts that.
     pub fn names(&self, backend: Short, part: u64) -> bool {
         self.holders(part).any(|holder| holder == backend)
     }
 
-    /// Takes over that `backend` keeps a part, by its own word.
+    /// Records a part that `backend` itself reported as cached.
     pub fn confirm(&mut self, holding: Holding, now: Time) {
         self.learn(holding, now);
         if self.parts.len() > MAX_PARTS {
-            self.shrink();
+            self.evict_oldest();
         }
     }
 
-    /// Takes over that `backend` did not keep `part` at `made`; what was sent there later stays.
+    /// Records that `backend` did not have `part` cached at `made`; copies from prompts sent later
+    /// are kept.
     pub fn drop_part(&mut self, backend: Short, part: u64, made: Time) {
         let Some(copies) = self.parts.get_mut(&part) else {
             return;
@@ -204,7 +214,8 @@
         }
     }
 
-    /// All parts, the engines that they are believed to be at, and when they were last used.
+    /// Returns all parts with the engines believed to have them cached and the time of their last
+    /// use.
     pub fn copies(&self) -> impl Iterator<Item = (u64, Short, Time)> {
         self.parts.iter().flat_map(|(part, copies)| {
             let copies = copies.iter();
--- a/src/memory/mod.rs
+++ b/src/memory/mod.rs
@@ -1,11 +1,11 @@
-//! What model engines keep of the prompts that they have read, and how it gets from one to another.
+//! Prompt caches of model engines, and the transfer of their contents between engines.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`prompt`] | what a caller tells of its prompt |
-//! | [`cache`] | which engines hold which parts of prompts |
-//! | [`news`] | what engines tell of that |
-//! | [`moved`] | a run's memory at another engine |
+//! | [`prompt`] | what a caller states about its prompt |
+//! | [`cache`] | which engines have which prompt parts cached |
+//! | [`news`] | cache reports of engines |
+//! | [`moved`] | transfer of a run's memory to another engine |
 
 pub mod cache;
 pub mod moved;
@@ -17,36 +17,38 @@
     unit::{Bytes, Millis},
 };
 
-/// The engines of one service, as far as their memory is concerned.
+/// Memory-related properties of the engines of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Tokens that fit into its memory.
+    /// Memory capacity in tokens.
     pub tokens: u64,
-    /// What one token of it takes, where that is known.
+    /// Memory per token, if known; zero otherwise.
     pub token_size: Bytes,
-    /// How fast memory gets from one engine to another; none where it does not.
+    /// Transfer speed between engines; `None` if memory cannot be transferred.
     pub link: Option<Link>,
-    /// Whether a running request may be moved to another engine.
+    /// Whether a running request can be moved to another engine.
     pub moves: bool,
-    /// Whether the memory of a running request may be sent to another engine as it grows.
+    /// Whether the memory of a running request can be replicated to another engine as it grows.
     pub backups: bool,
-    /// Callers that may wait for an engine's news of its memory at the same time; zero where it tells none.
+    /// Maximum number of concurrent watchers of an engine's cache; zero if it does not report its
+    /// cache.
     pub watchers: u32,
-    /// The longest time for which an engine keeps a place for a request that comes later.
+    /// Maximum time for which an engine reserves a slot for a later request.
     pub hold: Millis,
-    /// How long an engine keeps a copy that nobody has used.
+    /// How long an engine keeps an unused copy.
     pub handle: Millis,
 }
 
 impl Engine {
-    /// How long it takes to move `tokens` from one engine to another, where that is possible.
+    /// Returns how long it takes to transfer `tokens` from one engine to another; `None` if that is
+    /// not possible.
     pub fn transfer(&self, tokens: u32) -> Option<Millis> {
         let Link(speed) = self.link?;
         let bits = f64::from(tokens) * self.token_size.0 as f64 * 8.0;
         let millis = bits / (speed * 1000.0);
-        Some(SETUP + Millis(millis.ceil() as u64))
+        Some(TRANSFER_SETUP + Millis(millis.ceil() as u64))
     }
 }
 
-/// What a transfer takes besides its bytes: the two engines agree on it first.
-const SETUP: Millis = Millis(4);
+/// Fixed part of the duration of a transfer: the two engines negotiate it first.
+const TRANSFER_SETUP: Millis = Millis(4);
--- a/src/memory/moved.rs
+++ b/src/memory/moved.rs
@@ -1,8 +1,8 @@
-//! A run's memory at another engine: the copy that goes on there.
+//! Transfer of a run's memory to another engine, where the run is resumed from the copy.
 
 use std::{fmt, net::SocketAddr};
 
-/// The name that the engine a run came from gave the copy of its memory; it serves a single time.
+/// Single-use handle that the source engine assigned to the copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handle(pub String);
 
@@ -12,39 +12,39 @@
     }
 }
 
-/// Where a run goes on from.
+/// Copy from which a run is resumed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The listener of the engine that ran it before.
+    /// Address of the engine that ran it before.
     pub address: SocketAddr,
-    /// The copy.
+    /// Handle of the copy.
     pub handle: Handle,
 }
 
-/// What came of a call to move a run's memory.
+/// Result of a call to move a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Moved {
-    /// The copy is whole as of the call, and the run stopped where that was asked.
+    /// The copy is complete as of the call, and the run was stopped if that was requested.
     Copied {
-        /// The copy.
+        /// Handle of the copy.
         handle: Handle,
-        /// Events that the run had made.
+        /// Number of events that the run had produced.
         events: u64,
     },
-    /// The run stopped, the copy is not whole, and the engine it ran at keeps its memory.
+    /// The run was stopped but the copy is incomplete; the source engine keeps the memory.
     Kept(Handle),
-    /// Nothing was copied: there is no room or no way there.
+    /// Nothing was copied, because the target has no room or cannot be reached.
     Refused,
     /// Another call for the run is under way.
     Busy,
-    /// No such run is there: it has ended by itself.
+    /// The run does not exist there, because it has already ended.
     Absent,
-    /// There was no answer that reads; it may have been done.
+    /// No readable answer was received; the call may have taken effect.
     Lost,
 }
 
 impl Moved {
-    /// The copy that it names.
+    /// Returns the handle of the copy, if there is one.
     pub fn handle(self) -> Option<Handle> {
         match self {
             Self::Copied { handle, .. } | Self::Kept(handle) => Some(handle),
--- a/src/memory/news.rs
+++ b/src/memory/news.rs
@@ -1,31 +1,31 @@
-//! What engines tell of the long parts of prompts that they keep, and how one box passes it on.
+//! Cache reports of engines on long prompt parts, and how a box forwards them to the others.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{memory::prompt::Part, unit::Millis, wire::Short};
 
-/// One change of what an engine keeps.
+/// Change in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It keeps the part from now on.
+    /// The part is cached from now on.
     Kept(Part),
-    /// It gave the part of this identity up, or some of it.
+    /// The part with this identity was evicted, in whole or in part.
     Gone(u64),
 }
 
-/// What an engine tells a box that follows it.
+/// Report from an engine to a box that watches its cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// All that it keeps.
+    /// All cached parts.
     All(Vec<Part>),
-    /// What changed since it told last, in order; nothing means that it was heard.
+    /// Changes since the last report, in order; an empty list is a keep-alive.
     Changes(Vec<Change>),
-    /// Some changes are lost: what is known holds no longer.
+    /// Some changes were lost, so earlier data is no longer valid.
     Gap,
 }
 
 impl News {
-    /// The name of its kind, for counters.
+    /// Returns the name of the kind, for counters.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::All(_) => "list",
@@ -35,33 +35,33 @@
     }
 }
 
-/// What a box tells the others of the engines that it follows.
+/// Report from a box to the others on the engines whose caches it watches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// For how long the receiver counts them as followed.
+    /// How long the receiver considers these engines to be watched.
     pub lasts: Millis,
-    /// The engines that it heard lately.
+    /// Engines that reported recently.
     pub engines: Vec<Word>,
 }
 
-/// What of one engine differs from what all boxes were told so far.
+/// Corrections for one engine to what was reported to the boxes so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     /// The engine.
     pub backend: Short,
-    /// Its life.
+    /// Hash of its name and incarnation.
     pub life: Short,
-    /// Long parts that it keeps though the boxes were not told so.
+    /// Long parts that are cached although this was not reported to the boxes.
     pub kept: Vec<u64>,
-    /// Long parts that it does not keep.
+    /// Long parts that are not cached.
     pub gone: Vec<Gone>,
 }
 
-/// A part that an engine does not keep.
+/// Part that is not cached by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gone {
-    /// The part's identity.
+    /// Identity of the part.
     pub part: u64,
-    /// How long the follower has known.
+    /// How long the watching box has known this.
     pub age: Millis,
 }
--- a/src/memory/prompt.rs
+++ b/src/memory/prompt.rs
@@ -1,35 +1,38 @@
-//! What a caller tells of its prompt: how long it is and which parts it shares with others.
+//! What a caller states about its prompt: its length and the parts that it shares with other
+//! prompts.
 
 use super::cache::LONG;
 
-/// A part of a prompt; requests with the same part send the same tokens.
+/// Part of a prompt; requests with the same part send the same tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
-    /// Its identity.
+    /// Identity of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The prompt of a request to a model engine.
+/// Prompt of a request to a model engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
-    /// The most tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     pub output: u32,
-    /// Its parts, in order.
+    /// Parts in order.
     pub parts: Vec<Part>,
 }
 
 impl Prompt {
-    /// The parts that others may share; the last part belongs to the request or its session alone.
+    /// Returns the parts that other requests may share; the last part belongs to the request or its
+    /// session alone.
     pub fn shared_parts(&self) -> &[Part] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// The part by which all boxes find the engine where the prompt is best read: its longest where that is long,
-    /// else the last one that others share, which stands for all before it.
+    /// Returns the part from which all boxes derive the preferred engine of the prompt: the longest
+    /// shared part if it is long, or else the last shared one, which represents all parts before
+    /// it.
     pub fn key(&self) -> Option<Part> {
         let longest = self.longest()?;
         match longest.tokens >= LONG {
@@ -38,12 +41,12 @@
         }
     }
 
-    /// The tokens that others may share.
+    /// Returns the number of tokens that other requests may share.
     pub fn shared(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// The longest shared part: it tells where the prompt is best read.
+    /// Returns the longest shared part, which determines the preferred engine of the prompt.
     pub fn longest(&self) -> Option<Part> {
         let parts = self.shared_parts().iter().copied();
         parts.max_by_key(|part| part.tokens)
--- a/src/policy/baseline.rs
+++ b/src/policy/baseline.rs
@@ -1,21 +1,23 @@
-//! Simple policies that the product's own is measured against.
+//! Simple policies that serve as baselines for the default one.
 
 use crate::policy::{Candidate, Choice, Policy, View, refuse};
 
-/// Never leaves home: the least busy place there, or a wait.
+/// Never leaves the home region: sends to its least loaded place, waits for a slot there, or
+/// refuses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HomeOnly;
 
-/// Home while it has any place at all, however full; the nearest other region only without one.
+/// Stays in the home region while it has any candidate, however loaded; otherwise chooses the
+/// nearest region.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Nearest;
 
-/// The least busy place anywhere.
+/// Chooses the least loaded place anywhere.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
-/// The least busy of the places that begin in time.
-fn least<'a>(view: &View<'a>, usable: impl Fn(&Candidate) -> bool) -> Choice {
+/// Chooses the least loaded of the usable places that can begin in time.
+fn pick_least_loaded<'a>(view: &View<'a>, usable: impl Fn(&Candidate) -> bool) -> Choice {
     let places = || view.candidates.iter().filter(|c| usable(c));
     let in_time = places().filter(|c| c.wait + c.hop < view.left);
     match in_time.min_by(|a, b| a.load.total_cmp(&b.load)) {
@@ -26,7 +28,7 @@
 
 impl Policy for HomeOnly {
     fn pick(&self, view: &View<'_>) -> Choice {
-        least(view, |c| c.home)
+        pick_least_loaded(view, |c| c.home)
     }
 }
 
@@ -36,12 +38,12 @@
             return HomeOnly.pick(view);
         }
         let nearest = view.candidates.iter().map(|c| c.hop).min();
-        least(view, |c| Some(c.hop) == nearest)
+        pick_least_loaded(view, |c| Some(c.hop) == nearest)
     }
 }
 
 impl Policy for LeastLoaded {
     fn pick(&self, view: &View<'_>) -> Choice {
-        least(view, |_| true)
+        pick_least_loaded(view, |_| true)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request goes among the places that may run it now.
+//! Placement policies: the choice among the places that may run a request now.
 
 mod balanced;
 mod baseline;
@@ -16,49 +16,50 @@
 pub use baseline::{HomeOnly, LeastLoaded, Nearest};
 pub use named::Named;
 
-/// A place that may run a request.
+/// Destination that may run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Place {
-    /// A backend server of this region.
+    /// Backend server of this region.
     Backend(Backend),
     /// Another region, reached through one of its boxes.
     Region(Region),
 }
 
-/// A place with what is expected there.
+/// Place with its expected load, delay and cost.
 #[derive(Clone, Debug, Serialize)]
 pub struct Candidate {
     /// The place.
     pub place: Place,
-    /// Whether it lies in the request's home region.
+    /// Whether the place is in the request's home region.
     pub home: bool,
-    /// Slots that are free there.
+    /// Free slots.
     pub free: u32,
-    /// Work in hand as a share of the slots.
+    /// Requests in flight as a share of the slots.
     pub load: f64,
-    /// Expected wait for a slot that others may have taken since the last word.
+    /// Expected extra wait, because other boxes may have taken slots since the last load update.
     pub risk: Millis,
-    /// Time between two slots that get free there.
+    /// Mean time between two slots becoming free.
     pub step: Millis,
     /// Expected wait for a slot.
     pub wait: Millis,
     /// Expected time to the first byte once a slot is free.
     pub first: Millis,
-    /// Round trip to the place.
+    /// Round-trip time to the place.
     pub hop: Millis,
-    /// Price of one request there.
+    /// Price of one request.
     pub price: f64,
-    /// Whether the place likely holds the prompt's prefix.
+    /// Whether the place likely has the prompt's prefix cached.
     pub warm: bool,
-    /// What the request costs those that run there, as a delay of its own.
+    /// Delay that the request causes for the requests already running there.
     pub burden: Millis,
-    /// Share of its answers that failed lately.
+    /// Share of recent answers that failed.
     pub failing: f64,
 }
 
 impl Candidate {
-    /// What choosing the place means: another region queues by itself, a server here does not.
+    /// Returns the choice of this place: a backend server without a free slot means waiting here,
+    /// while another region queues requests itself.
     fn choice(&self) -> Choice {
         match self.place {
             Place::Backend(_) if self.free == 0 => Choice::Wait,
@@ -67,40 +68,40 @@
     }
 }
 
-/// All that a policy sees of one decision.
+/// Input of a placement decision.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The places, in a fixed order.
+    /// Candidates in a fixed order.
     pub candidates: &'a [Candidate],
-    /// What the deployment weighs.
+    /// Weights of the configuration.
     pub weights: Weights,
     /// Time left until the answer must have begun.
     pub left: Millis,
 }
 
-/// A policy's word.
+/// Decision of a policy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Choice {
-    /// Send it there now.
+    /// Send the request to the place now.
     Send(Place),
-    /// Let it wait for a slot in this region.
+    /// Queue the request in this region until a slot is free.
     Wait,
-    /// Give it up now; a place is expected after this long.
+    /// Refuse the request; a place is expected to be free after this time.
     Refuse(Millis),
 }
 
-/// A way to choose; the reducer is generic over it.
+/// Placement policy; the reducer is generic over it.
 pub trait Policy {
-    /// Chooses for one request.
+    /// Chooses a place for one request.
     fn pick(&self, view: &View<'_>) -> Choice;
 }
 
-/// When to come back where there is no place at all.
-const NO_PLACE: Millis = Millis(1000);
+/// Retry delay returned with a refusal when there is no candidate at all.
+const NO_PLACE_RETRY_AFTER: Millis = Millis(1000);
 
-/// Gives a request up: no place begins its answer in time.
+/// Refuses a request that no place can begin to answer in time.
 fn refuse<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Choice {
-    let soonest = candidates.map(|c| c.wait).min();
-    Choice::Refuse(soonest.unwrap_or(NO_PLACE))
+    let shortest_wait = candidates.map(|c| c.wait).min();
+    Choice::Refuse(shortest_wait.unwrap_or(NO_PLACE_RETRY_AFTER))
 }
--- a/src/policy/named.rs
+++ b/src/policy/named.rs
@@ -1,20 +1,20 @@
-//! A policy by its name in a box's settings.
+//! Selection of a policy by its name in the settings of a box.
 
 use std::{fmt, str::FromStr};
 
 use crate::policy::{Balanced, Choice, HomeOnly, LeastLoaded, Nearest, Policy, View};
 
-/// One of the policies; the baselines are there to be compared with.
+/// Selectable policy; those other than `Balanced` are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Named {
-    /// The product's own.
+    /// Default policy; see [`Balanced`](struct@Balanced).
     #[default]
     Balanced,
-    /// Never leaves home.
+    /// Never leaves the home region.
     HomeOnly,
-    /// Leaves home only where it has no place at all.
+    /// Leaves the home region only if it has no place at all.
     Nearest,
-    /// The least busy place anywhere.
+    /// Chooses the least loaded place anywhere.
     LeastLoaded,
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages between boxes over nng: postcard, signed with the shared secret.
+//! Gossip messages between boxes: postcard-encoded, signed with the shared secret, and sent over
+//! nng.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -18,154 +19,154 @@
     unit::{Millis, Rate, Time},
 };
 
-const TAG: usize = 8;
+const TAG_BYTES: usize = 8;
 const PURPOSE: &str = "frame";
 
-/// Who a box is and where it listens.
+/// Identity and addresses of a box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its region.
+    /// Region of the box.
     pub region: Region,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: Domain,
-    /// Its listener for callers.
+    /// Address for callers.
     pub public: SocketAddr,
-    /// Its HTTP listener for other boxes.
+    /// HTTP address for other boxes.
     pub peer: SocketAddr,
-    /// Its nng listener.
+    /// Gossip (nng) address.
     pub gossip: SocketAddr,
 }
 
-/// Whether a box takes work.
+/// Life-cycle phase of a box, which states whether it takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It has no configuration yet, or just woke up.
+    /// The box has no configuration yet, or has just started or resumed.
     Unready,
-    /// It takes work.
+    /// The box takes work.
     Ready,
-    /// It is stopping.
+    /// The box is stopping.
     Leaving,
 }
 
-/// A backend server's, service's or customer's name as 32 bits of its xxh3 hash.
+/// Name of a backend server, service or customer, shortened to 32 bits of its xxh3 hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Short(pub u32);
 
 impl Short {
-    /// Shortens a name.
+    /// Hashes a name.
     pub fn of(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// Work that one box has in hand at one backend server.
+/// Attempts of one box in flight at one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The backend server.
     pub backend: Short,
-    /// Attempts in hand.
+    /// Attempts in flight.
     pub busy: u32,
 }
 
-/// What was seen of one backend server in the last moments, by one box or by several.
+/// Recent observations of one backend server, by one or several boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The backend server.
     pub backend: Short,
-    /// Attempts in hand there.
+    /// Attempts in flight there.
     pub busy: u32,
-    /// Boxes that it answered lately.
+    /// Number of boxes that it answered recently.
     pub answered: u32,
-    /// Boxes that could not reach it lately.
+    /// Number of boxes that could not reach it recently.
     pub unreachable: u32,
 }
 
-/// How one customer's allotment was used in the last moments, by one box or by several: both figures
-/// fade within the allotment's span.
+/// Recent use of one customer's allotment, at one or several boxes. Both figures decay over the
+/// allotment's time window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Use {
     /// The customer.
     pub customer: Short,
-    /// Units of the allotment that were let in.
+    /// Units of the allotment that were admitted.
     pub used: u32,
-    /// Units that were asked for.
+    /// Units that were requested.
     pub offered: u32,
 }
 
 impl Use {
-    /// The use of `customer` among `uses`, which stand in the order of their customers.
+    /// Returns the use of `customer` among `uses`, which are sorted by customer.
     pub fn find(uses: &[Use], customer: Short) -> Option<&Use> {
-        let at = uses.binary_search_by_key(&customer, |told| told.customer);
+        let at = uses.binary_search_by_key(&customer, |usage| usage.customer);
         at.ok().map(|at| &uses[at])
     }
 }
 
-/// What the answers of backend servers say of a roll-out on one route, at one box or at several.
+/// Answers of backend servers that count for a roll-out on one route, at one or several boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// The service.
     pub service: Short,
-    /// The store's number of the order.
+    /// Store revision of the roll-out order.
     pub order: Revision,
     /// The route.
     pub route: Short,
-    /// How long a box has known the order.
+    /// How long ago a box learned of the order.
     pub age: Millis,
-    /// Answers of the releases that served before.
+    /// Answers of the previous releases.
     pub old: Count,
-    /// Answers of the new one.
+    /// Answers of the new release.
     pub new: Count,
-    /// Its servers that answered: a bit for each, by a hash of its name.
+    /// Servers of the new release that answered, as a bitmap by a hash of their names.
     pub seen: u64,
-    /// Those of them that answered badly.
+    /// Servers of the new release that answered with a failure, as a bitmap of the same kind.
     pub failing: u64,
 }
 
 impl Trial {
-    /// What rows must have in common to be added up.
+    /// Returns the key by which rows are aggregated.
     pub fn key(&self) -> (Short, Revision, Short) {
         (self.service, self.order, self.route)
     }
 }
 
-/// What a box tells the hubs of its failure domain.
+/// Report of a box to the hubs of its failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// What it has seen of backend servers.
+    /// Observations of backend servers.
     pub usages: Vec<Usage>,
-    /// Its customers' use.
+    /// Use of customers' allotments.
     pub uses: Vec<Use>,
-    /// What it has seen of roll-outs.
+    /// Roll-out observations.
     pub trials: Vec<Trial>,
 }
 
 impl Report {
-    /// Whether there is nothing to tell.
+    /// Reports whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.usages.is_empty() && self.uses.is_empty() && self.trials.is_empty()
     }
 }
 
-/// How far a hub knows the platform's store by itself.
+/// State of the platform's store as known to a hub from the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
-    /// The store's last change that it knows of.
+    /// Last store revision known.
     pub revision: Revision,
-    /// How long ago the store told it.
+    /// How long ago the store reported it.
     pub age: Millis,
 }
 
-/// What the platform's store told a hub.
+/// Update from the platform's store, sent by a hub.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// The revision that the changes follow; none where they don't tell all.
+    /// Revision that the changes are based on; `None` if they may be incomplete.
     pub since: Option<Revision>,
-    /// The revision that they lead to.
+    /// Revision after the changes.
     pub until: Revision,
-    /// The changes, in order.
+    /// Changes in order.
     pub changes: Vec<Change>,
     /// All failure domains under evacuation.
     pub evacuated: BTreeSet<Domain>,
@@ -173,78 +174,80 @@
     pub rollouts: Rollouts,
 }
 
-/// What a hub tells several times a second.
+/// Aggregate that a hub sends several times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// How its region uses backend servers, or its failure domain alone for the hubs of another one.
+    /// Use of backend servers, by failure domain: of the hub's whole region, or of its own domain
+    /// only when sent to the hubs of another domain.
     pub shares: Vec<Share>,
-    /// What it knows of the platform's store.
+    /// State of the platform's store.
     pub store: Option<Word>,
-    /// Contents that it holds back, for the boxes of its failure domain.
+    /// Contents held back, for the boxes of its failure domain.
     pub held: Vec<Held>,
 }
 
-/// What the boxes of one failure domain have seen of backend servers, added up.
+/// Sum of what the boxes of one failure domain observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The failure domain.
     pub domain: Domain,
-    /// What they tell together.
+    /// Sum of the boxes' reports.
     pub report: Report,
 }
 
-/// What a box tells the boxes of its region.
+/// Heartbeat of a box to the other boxes of its region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who it is.
+    /// Identity of the sender.
     pub contact: Contact,
-    /// Its clock.
+    /// Clock of the sender.
     pub uptime: Time,
-    /// The configuration it has in force.
+    /// Version of the configuration in force.
     pub version: Version,
-    /// How far it knows the platform's store.
+    /// Store revision that the sender knows.
     pub revision: Revision,
-    /// Whether it takes work.
+    /// Whether the sender takes work.
     pub phase: Phase,
-    /// When the receiver hears of it again at the latest.
+    /// Maximum time until the receiver gets the next heartbeat.
     pub pace: Millis,
-    /// Boxes of its region that it hears, or was told of and has greeted.
+    /// Number of boxes of the region that the sender receives heartbeats from, or has learned of
+    /// and greeted.
     pub boxes: u32,
-    /// Requests in hand.
+    /// Requests in flight.
     pub busy: u32,
-    /// Where that work is; servers without any are left out.
+    /// Attempts in flight by backend server; servers without any are omitted.
     pub loads: Vec<Load>,
-    /// Addresses that the platform's list names as leaving, where this box reads it.
+    /// Addresses listed as leaving by the platform, if this box reads its list.
     pub listed: Vec<SocketAddr>,
-    /// Its customers' use, in the order of the customers, where no hubs add it up.
+    /// Use of customers' allotments, sorted by customer, in regions without hubs.
     pub uses: Vec<Use>,
-    /// What it has seen of roll-outs, where no hubs add it up.
+    /// Roll-out observations, in regions without hubs.
     pub trials: Vec<Trial>,
-    /// Contents that it holds back.
+    /// Contents held back.
     pub held: Vec<Held>,
-    /// What backend servers of its region say that they take.
+    /// Request limits that backend servers of the region announced.
     pub limits: Vec<Limit>,
-    /// Those of them that said that they leave.
+    /// Departures that backend servers of the region announced.
     pub departures: Vec<Departure>,
-    /// Its room; always the last field.
+    /// Capacity of the sender; must stay the last field.
     pub room: Room,
 }
 
-/// A box of another region that takes relayed requests.
+/// Box of another region that accepts relayed requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Door {
-    /// Who it is.
+    /// Identity of the box.
     pub contact: Contact,
-    /// Its life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
-    /// Its clock when the digest was made.
+    /// Clock of the box when the digest was made.
     pub uptime: Time,
 }
 
-/// What a region can take of one service.
+/// Capacity of a region for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// The model or route.
+    /// Model or route.
     pub service: Short,
     /// Slots of the servers that take work.
     pub slots: u32,
@@ -252,171 +255,173 @@
     pub busy: u32,
     /// Expected time to the first byte.
     pub first: Millis,
-    /// Expected time of a whole answer.
+    /// Expected time to the complete answer.
     pub whole: Millis,
 }
 
-/// The boxes of a region all stopped by plan.
+/// Region whose boxes have all been stopped by plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Absence {
     /// The region.
     pub region: Region,
-    /// How long ago its last box said so.
+    /// How long ago its last box reported that.
     pub age: Millis,
 }
 
-/// Callers use a route.
+/// Route that is in use by callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Used {
     /// The route.
     pub route: Short,
-    /// How long ago its last request came.
+    /// How long ago its last request arrived.
     pub age: Millis,
 }
 
-/// What one region tells another.
+/// Summary of one region, sent to the other regions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The region it speaks of.
+    /// Region that the digest describes.
     pub region: Region,
-    /// The newest configuration there.
+    /// Newest configuration version in the region.
     pub version: Version,
-    /// How far its boxes know the platform's store.
+    /// Store revision known in the region.
     pub revision: Revision,
-    /// Some of its boxes, least busy for their weight first.
+    /// Some boxes that accept relayed requests, least loaded for their weight first.
     pub doors: Vec<Door>,
-    /// Its boxes.
+    /// Number of boxes in the region.
     pub boxes: u32,
-    /// Whether its boxes are stopping by plan, and none takes work.
+    /// Whether its boxes are stopping by plan and none takes work.
     pub stopping: bool,
-    /// The other regions whose boxes stopped by plan a short while ago, as far as its boxes know.
+    /// Other regions whose boxes were recently stopped by plan, as far as known.
     pub absences: Vec<Absence>,
-    /// Routes that callers use, of hosts that bind some of their requests to regions.
+    /// Routes in use, of hosts that restrict some of their requests to regions.
     pub used: Vec<Used>,
-    /// What it can take.
+    /// Capacity by service.
     pub services: Vec<Capacity>,
-    /// Its customers' use, in the order of the customers.
+    /// Use of customers' allotments, sorted by customer.
     pub uses: Vec<Use>,
-    /// What its boxes have seen of roll-outs.
+    /// Roll-out observations of its boxes.
     pub trials: Vec<Trial>,
     /// Contents that its boxes hold back.
     pub held: Vec<Held>,
-    /// The part of its boxes whose use stands there.
+    /// Share of its boxes whose use is included.
     pub cover: f64,
-    /// Whether the receiver passes it on inside its region.
+    /// Whether the receiver forwards it within its region.
     pub spread: bool,
 }
 
-/// A backend server begins to read a long prompt.
+/// Notification that a backend server begins to read a long prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
     /// The backend server.
     pub backend: Short,
     /// Length of the prompt in tokens.
     pub prompt: u32,
-    /// Tokens that it has to read.
+    /// Tokens that the server has to read.
     pub tokens: u32,
-    /// Tokens that it takes over from another engine.
+    /// Tokens fetched from another engine.
     pub fetched: u32,
-    /// The longest part that the prompt shares with others.
+    /// Longest part that the prompt shares with others.
     pub part: Option<u64>,
-    /// That part's length in tokens.
+    /// Length of that part in tokens.
     pub shared: u32,
-    /// Whether the receiver passes it on inside its region.
+    /// Whether the receiver forwards it within its region.
     pub spread: bool,
 }
 
-/// An engine holds a long part of prompts.
+/// Long prompt part cached by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The engine.
     pub backend: Short,
-    /// The part's identity.
+    /// Identity of the part.
     pub part: u64,
 }
 
-/// A box is not heard by one that should hear it often.
+/// Notification that a box that should get frequent heartbeats from another one receives none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Silent {
-    /// Its name.
+    /// Name of the silent box.
     pub name: BoxName,
-    /// The life that was heard last.
+    /// Incarnation that last sent a message.
     pub incarnation: Incarnation,
-    /// How long that was ago.
+    /// How long the box has been silent.
     pub since: Millis,
-    /// The listener of a box that asks it first; none where the others are told as well.
+    /// Gossip address of a box that probes the silent box first; `None` if the other boxes are
+    /// notified as well.
     pub asker: Option<SocketAddr>,
 }
 
-/// What a box has found out of contents that may end backend servers.
+/// Findings of a box about contents that may crash backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Marks {
-    /// Backend servers that ended under them.
+    /// Backend servers that ended while they ran such contents.
     pub strikes: Vec<Strike>,
-    /// Contents that nothing speaks against any more.
+    /// Contents that are no longer suspected.
     pub cleared: Vec<Fingerprint>,
-    /// Whether the receiver passes it on inside its region.
+    /// Whether the receiver forwards it within its region.
     pub spread: bool,
 }
 
-/// What a backend server says that it takes from all boxes together.
+/// Request limit announced by a backend server for all boxes together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
     /// The backend server.
     pub backend: Short,
-    /// Its life.
+    /// Hash of its name and incarnation.
     pub life: Short,
-    /// Requests a second; none where it no longer names a limit.
+    /// Requests per second; `None` if the server no longer announces a limit.
     pub rate: Option<Rate>,
-    /// How long ago that was so.
+    /// How long ago the limit was announced.
     pub age: Millis,
 }
 
-/// A backend server said that it is leaving.
+/// Departure announced by a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     /// The backend server.
     pub backend: Short,
-    /// Its life.
+    /// Hash of its name and incarnation.
     pub life: Short,
-    /// How long ago it said so last.
+    /// How long ago the last announcement was made.
     pub age: Millis,
 }
 
-/// A message's content.
+/// Body of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Within a region.
+    /// Sent within a region.
     Heartbeat(Heartbeat),
-    /// Between regions, then once more inside the receiver's.
+    /// Sent between regions, and forwarded once within the receiver's region.
     Digest(Digest),
-    /// To a box that just appeared: the others of its region.
+    /// Sent to a box that just appeared: the other boxes of its region.
     Members(Vec<Contact>),
-    /// Within a region, and once to each other one: a long prompt begins to be read.
+    /// Sent within a region, and once to each other one: a server begins to read a long prompt.
     Reading(Reading),
-    /// To a box that just appeared: which engines hold which parts.
+    /// Sent to a box that just appeared: long parts by the engines that have them cached.
     Holdings(Vec<Holding>),
-    /// Within a region: a box that should be heard is not.
+    /// Sent within a region: a box whose heartbeats are due is silent.
     Silent(Silent),
-    /// To the hubs of its failure domain: what a box has seen.
+    /// Sent to the hubs of a failure domain: the observations of one box.
     Report(Report),
-    /// From a hub: the sums of its region to the boxes of its failure domain, or those of its failure
-    /// domain to the hubs of another one.
+    /// Sent by a hub: the sums of its region to the boxes of its failure domain, or those of its
+    /// failure domain to the hubs of another one.
     Tally(Tally),
-    /// From a hub to the boxes of its failure domain: the platform's store told this.
+    /// Sent by a hub to the boxes of its failure domain: an update from the platform's store.
     News(News),
-    /// Within a region, and once to each other one: what ended backend servers, and what did not.
+    /// Sent within a region, and once to each other one: contents suspected of crashing backend
+    /// servers, and contents cleared.
     Marks(Marks),
-    /// Within a region: what backend servers say that they take, where that changed.
+    /// Sent within a region: changed request limits of backend servers.
     Limits(Vec<Limit>),
-    /// Within a region: which backend servers said that they leave, where that changed.
+    /// Sent within a region: new departures of backend servers.
     Departures(Vec<Departure>),
-    /// Within a region: what engines say that they keep, where that is not what the boxes were told.
+    /// Sent within a region: corrections to earlier reports on engines' caches.
     Kept(Told),
 }
 
 impl Body {
-    /// The name of its kind, for counters and the log.
+    /// Returns the name of the kind, for counters and the log.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "heartbeat",
@@ -436,33 +441,34 @@
     }
 }
 
-/// One message.
+/// Gossip message with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The box that made it.
+    /// Name of the sender.
     pub from: BoxName,
-    /// The life that made it.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its number in that life; a lower one than the last is dropped unread.
+    /// Sequence number within the incarnation; a frame with a number not above the last one is
+    /// dropped.
     pub seq: u64,
-    /// The content.
+    /// Body of the message.
     pub body: Body,
 }
 
-/// Why bytes are not a frame.
+/// Error in decoding a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// The signature is missing or wrong.
     Unsigned,
-    /// The signed bytes do not read as a frame.
+    /// The signed bytes cannot be decoded as a frame.
     Unreadable,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Unsigned => "the frame's signature is wrong",
-            Self::Unreadable => "the frame does not read",
+            Self::Unsigned => "the frame's signature is missing or invalid",
+            Self::Unreadable => "the frame cannot be decoded",
         })
     }
 }
@@ -470,15 +476,15 @@
 impl std::error::Error for Error {}
 
 impl Frame {
-    /// Writes the frame and its signature.
+    /// Encodes and signs the frame.
     pub fn encode(&self, secret: &Secret) -> Vec<u8> {
-        let body = postcard::to_stdvec(self).expect("a frame always encodes");
-        sign::seal(secret, PURPOSE, body, TAG)
+        let body = postcard::to_stdvec(self).expect("encoding a frame never fails");
+        sign::seal(secret, PURPOSE, body, TAG_BYTES)
     }
 
-    /// Checks the signature and reads the frame.
+    /// Verifies the signature and decodes the frame.
     pub fn decode(secret: &Secret, bytes: &[u8]) -> Result<Self, Error> {
-        let (body, tag) = sign::split(bytes, TAG).ok_or(Error::Unsigned)?;
+        let (body, tag) = sign::split(bytes, TAG_BYTES).ok_or(Error::Unsigned)?;
         if !sign::holds(secret, PURPOSE, body, tag) {
             return Err(Error::Unsigned);
         }
