--- a/src/allotment.rs
+++ b/src/allotment.rs
@@ -1,19 +1,22 @@
-//! What a customer may use of the whole fleet: a rate and a burst, in requests or in tokens.
+//! Per-customer allotments: a rate and a burst, in requests or tokens, enforced over the whole
+//! fleet.
 //!
-//! Load pattern: one customer sends several times its allotment through all boxes at once, in requests
-//! that weigh from a few hundred to some fifty thousand tokens. A fixed part for each box fails there:
-//! at 74 boxes a customer of 47,000 tokens a second has 635 in each, and one long prompt weighs 17,000,
-//! so one in seven requests is refused although the customer keeps well below its allotment.
+//! Load pattern: one customer sends several times its allotment through all boxes at once, in
+//! requests that cost from a few hundred to some fifty thousand tokens. A fixed quota per box fails
+//! under this load: with 74 boxes, a customer with 47,000 tokens per second has 635 at each, and
+//! one long prompt costs 17,000, so one in seven requests would be refused although the customer
+//! stays well below its allotment.
 //!
-//! So each box counts what it lets in and what it is asked for, both fading within the allotment's
-//! span, and hears the sums of the others some tenths of a second late. It admits while the fleet's use
-//! is below the burst. Where the fleet is asked for more, it also drops by chance what is too much:
-//! boxes that only stop at the limit all go on until they hear of it, and all stop at once, which lets
-//! in half as much again.
+//! Each box therefore counts the units it admits and the units requested of it, both decaying
+//! exponentially, and receives the sums of the other boxes with a delay of some tenths of a second.
+//! It admits requests while the use of the whole fleet is below the limit. Where more than the
+//! limit is requested, it also drops requests at random in proportion to the excess: boxes that
+//! only stop at the limit would all continue until they receive the sums and then all stop at once,
+//! which admits half as much again.
 //!
-//! Reasons for the limits: use fades by the part that the rate brings back, so that in any window no
-//! more is admitted than the burst and the rate together. A part of the platform's tolerance widens the
-//! burst, since one long prompt may be a third of it; the rest covers the lag.
+//! Use decays at the rate at which the allotment is replenished, so that no window admits more than
+//! the burst plus the rate. Part of the platform's tolerance widens the burst, since one long
+//! prompt can be a third of it; the rest covers the delay of the sums.
 
 use std::{collections::HashMap, fmt, str::FromStr};
 
@@ -24,31 +27,33 @@
     wire::{Short, Use},
 };
 
-/// Part of the platform's slack that widens the burst. With half of it 12 in 1,000 requests are
-/// refused wrongly at 0.55 of an allotment of 47,000 tokens a second and 74 boxes, and the largest window
-/// holds 0.82 of what the platform lets pass where 7.5 times the usual is sent (`measure allotments`).
-const WIDENED: f64 = 0.5;
-/// How much more than fits is admitted by chance where too much is asked for: what is told is old, and
-/// the limit itself holds the rest back. Without it a customer that asks for five times its allotment
-/// got 0.86 of it at thirty boxes.
-const SURPLUS: f64 = 1.1;
-/// Bounds of the span within which use fades: shorter than the lag it would be forgotten unheard, and
-/// longer than half of the platform's window it would hold back what the rate allows.
-const SPAN: (Millis, Millis) = (Millis(500), Millis(4000));
-/// Use below this is not told, and an account with less is forgotten.
-const LEAST: f64 = 1.0;
-/// Part of its even share that a box spends which hears nobody.
-const ALONE: f64 = 0.5;
-/// Bounds of the time after which a refused caller is asked to come back.
-const COME_BACK: (Millis, Millis) = (Millis(400), Millis(4000));
-
-/// What an allotment counts.
+/// Part of the platform's slack that widens the burst. At one half, 12 in 1,000 requests are
+/// wrongly refused at a load of 0.55 of an allotment of 47,000 tokens per second over 74 boxes, and
+/// at 7.5 times the usual load the largest window holds 0.82 of what the platform permits (`measure
+/// allotments`).
+const BURST_SLACK_SHARE: f64 = 0.5;
+/// Factor by which random admission exceeds the limit under overload: the sums it is based on are
+/// out of date, and the limit itself still holds back the excess. Without it, a customer that
+/// requested five times its allotment received 0.86 of the allotment at thirty boxes.
+const RANDOM_ADMISSION_FACTOR: f64 = 1.1;
+/// Bounds of the decay time of use. If shorter than the reporting delay, use would decay before
+/// other boxes receive it; if longer than half of the platform's window, it would hold back
+/// requests that the rate permits.
+const DECAY_TIME_BOUNDS: (Millis, Millis) = (Millis(500), Millis(4000));
+/// Use below this is not reported, and an account with less is removed.
+const MIN_REPORTED_UNITS: f64 = 1.0;
+/// Part of its even share that a box admits while it receives no reports from other boxes.
+const ISOLATED_SHARE: f64 = 0.5;
+/// Bounds of the time after which a refused caller is asked to retry.
+const RETRY_AFTER_BOUNDS: (Millis, Millis) = (Millis(400), Millis(4000));
+
+/// The quantity that an allotment counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unit {
-    /// Requests.
+    /// Each request counts as one unit.
     #[default]
     Requests,
-    /// The tokens of a request's prompt and the most that its answer may have.
+    /// The tokens of a request's prompt plus the maximum number of tokens of its answer.
     Tokens,
 }
 
@@ -72,21 +77,21 @@
     }
 }
 
-/// What one customer may use, over all boxes.
+/// The quota of one customer over all boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allotment {
-    /// What is counted.
+    /// The quantity that is counted.
     pub unit: Unit,
-    /// Units a second.
+    /// Units per second.
     pub rate: Rate,
-    /// Units at once.
+    /// Units that may be used at once.
     pub burst: f64,
-    /// Tokens of a request that tells of none.
+    /// Tokens charged for a request that does not state its size.
     pub plain: u32,
 }
 
 impl Allotment {
-    /// What a request weighs.
+    /// Returns the units that a request costs.
     pub fn cost(&self, prompt: Option<&Prompt>) -> f64 {
         let tokens = match (self.unit, prompt) {
             (Unit::Requests, _) => return 1.0,
@@ -96,35 +101,36 @@
         tokens.max(1) as f64
     }
 
-    /// The span within which use fades to a third: in it the rate brings back the burst.
-    fn span(&self) -> Millis {
+    /// Returns the time constant of the decay of use: the time in which the rate replenishes the
+    /// burst.
+    fn decay_time(&self) -> Millis {
         let span = self.burst / self.rate.0 * 1000.0;
-        Millis(span as u64).clamp(SPAN.0, SPAN.1)
+        Millis(span as u64).clamp(DECAY_TIME_BOUNDS.0, DECAY_TIME_BOUNDS.1)
     }
 
-    /// The use at which nothing more is admitted.
-    fn most(&self, tolerance: Tolerance) -> f64 {
+    /// Returns the use at and above which requests are refused.
+    fn admission_limit(&self, tolerance: Tolerance) -> f64 {
         let seconds = |span: Millis| span.0 as f64 / 1000.0;
-        let span = seconds(self.span());
-        let slack = WIDENED * tolerance.slack(self.unit);
+        let span = seconds(self.decay_time());
+        let slack = BURST_SLACK_SHARE * tolerance.slack(self.unit);
         self.rate.0 * span + slack / (1.0 + seconds(tolerance.window) / span)
     }
 }
 
-/// How far the platform lets a customer's use go beyond its allotment.
+/// How far the platform allows a customer's use to exceed its allotment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// The span over which it adds use up.
+    /// The window over which the platform sums use.
     pub window: Millis,
-    /// Units beyond the allotment in one such span, for allotments in tokens.
+    /// Tokens above the allotment that are permitted in one window, for allotments in tokens.
     pub tokens: f64,
 }
 
 impl Tolerance {
-    /// The span where nothing is set.
+    /// The default window.
     pub const WINDOW: Millis = Millis(8000);
 
-    /// Units beyond an allotment in `unit` within one window.
+    /// Returns the units above an allotment in `unit` that are permitted within one window.
     fn slack(&self, unit: Unit) -> f64 {
         match unit {
             Unit::Requests => 0.0,
@@ -142,23 +148,23 @@
     }
 }
 
-/// What other boxes used of an allotment, and were asked for.
+/// Decayed use of an allotment: the units admitted and the units requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
-    /// Admitted.
+    /// Units admitted.
     pub used: f64,
-    /// Asked for.
+    /// Units requested.
     pub offered: f64,
 }
 
 impl Sum {
-    /// Adds what others told.
-    pub fn add(&mut self, told: &Use) {
-        self.used += f64::from(told.used);
-        self.offered += f64::from(told.offered);
+    /// Adds the use that another box reported.
+    pub fn add(&mut self, reported: &Use) {
+        self.used += f64::from(reported.used);
+        self.offered += f64::from(reported.offered);
     }
 
-    /// The greater of both.
+    /// Returns the field-wise maximum of both sums.
     pub fn max(self, other: Sum) -> Self {
         Self {
             used: self.used.max(other.used),
@@ -166,26 +172,26 @@
         }
     }
 
-    /// The rest without what a part of it told.
-    pub fn without(self, part: Sum) -> Self {
+    /// Subtracts a sum that is contained in this one; neither field goes below zero.
+    pub fn without(self, other: Sum) -> Self {
         Self {
-            used: (self.used - part.used).max(0.0),
-            offered: (self.offered - part.offered).max(0.0),
+            used: (self.used - other.used).max(0.0),
+            offered: (self.offered - other.offered).max(0.0),
         }
     }
 }
 
-/// What a box knows of the others' use of one allotment.
+/// What this box knows about the use of one allotment at other boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Knowledge {
-    /// The use of those that it hears of, which together may spend this part of the allotment.
+    /// Use was reported by other boxes.
     Heard {
-        /// Their use.
+        /// The sum of the reported use.
         others: Sum,
-        /// The part.
+        /// The part of the allotment that this box and the reporting boxes may use together.
         part: f64,
     },
-    /// It hears nobody, and there are this many boxes.
+    /// No reports are received, and the allotment is shared by this many boxes.
     Alone(usize),
 }
 
@@ -206,35 +212,35 @@
 #[derive(Clone, Copy, Debug)]
 struct Account {
     sum: Sum,
-    at: Time,
-    span: Millis,
+    updated: Time,
+    decay_time: Millis,
 }
 
 impl Account {
-    /// The part that is left after `age`.
-    fn left(&self, age: Millis) -> f64 {
-        (-(age.0 as f64) / self.span.0 as f64).exp()
+    /// Returns the factor by which use decays within `age`.
+    fn decay_factor(&self, age: Millis) -> f64 {
+        (-(age.0 as f64) / self.decay_time.0 as f64).exp()
     }
 
-    fn at(&self, now: Time) -> Sum {
-        let left = self.left(now.since(self.at));
+    fn sum_at(&self, now: Time) -> Sum {
+        let factor = self.decay_factor(now.since(self.updated));
         Sum {
-            used: self.sum.used * left,
-            offered: self.sum.offered * left,
+            used: self.sum.used * factor,
+            offered: self.sum.offered * factor,
         }
     }
 }
 
-/// Requests of one customer at this box, since it started.
+/// Numbers of one customer's requests at this box since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Let in.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Refused because the allotment was used up.
+    /// Requests refused because the allotment was used up.
     pub refused: u64,
 }
 
-/// The accounts of one box.
+/// The accounts of all customers at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
     accounts: HashMap<Customer, Account>,
@@ -243,7 +249,7 @@
 }
 
 impl Accounts {
-    /// No account yet, within this tolerance.
+    /// Creates an empty set of accounts with this tolerance.
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
             accounts: HashMap::new(),
@@ -252,36 +258,36 @@
         }
     }
 
-    /// Books a request of weight `cost`, or says when there may be room.
+    /// Books a request that costs `cost`, or returns the time after which it may be retried.
     ///
-    /// `draw` is a random number of the request's own.
+    /// `draw` is a random number drawn for this request.
     pub fn take(
         &mut self,
         customer: &Customer,
         allotment: &Allotment,
         cost: f64,
-        known: Knowledge,
+        others_use: Knowledge,
         draw: u64,
         now: Time,
     ) -> Result<(), Millis> {
-        let most = allotment.most(self.tolerance);
+        let limit = allotment.admission_limit(self.tolerance);
         let account = self.account(customer, allotment, now);
         account.sum.offered += cost;
-        let (used, offered, most) = match known {
+        let (used, offered, limit) = match others_use {
             Knowledge::Heard { others, part } => (
                 account.sum.used + others.used,
                 account.sum.offered + others.offered,
-                most * part,
+                limit * part,
             ),
-            // What a box that hears nobody lets in has to fit its share whole.
+            // Without reports, the whole cost of the request must fit into this box's share.
             Knowledge::Alone(boxes) => {
-                let most = most * ALONE / boxes.max(1) as f64;
-                (account.sum.used + cost, account.sum.used + cost, most)
+                let limit = limit * ISOLATED_SHARE / boxes.max(1) as f64;
+                (account.sum.used + cost, account.sum.used + cost, limit)
             }
         };
-        let chance = (SURPLUS * most / offered.max(f64::MIN_POSITIVE)).min(1.0);
-        let drawn = (draw >> 11) as f64 / (1_u64 << 53) as f64;
-        let admitted = used < most && drawn < chance;
+        let chance = (RANDOM_ADMISSION_FACTOR * limit / offered.max(f64::MIN_POSITIVE)).min(1.0);
+        let sample = (draw >> 11) as f64 / (1_u64 << 53) as f64;
+        let admitted = used < limit && sample < chance;
         if admitted {
             account.sum.used += cost;
         }
@@ -289,9 +295,9 @@
         if admitted {
             return Ok(());
         }
-        let excess = (used.max(offered) / most.max(f64::MIN_POSITIVE)).max(1.0);
-        let wait = allotment.span().0 as f64 * excess.ln();
-        Err(Millis(wait as u64).clamp(COME_BACK.0, COME_BACK.1))
+        let excess = (used.max(offered) / limit.max(f64::MIN_POSITIVE)).max(1.0);
+        let wait = allotment.decay_time().0 as f64 * excess.ln();
+        Err(Millis(wait as u64).clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1))
     }
 
     fn count(&mut self, customer: &Customer, admitted: bool) {
@@ -304,77 +310,77 @@
         }
     }
 
-    /// Requests of a customer at this box.
+    /// Returns the numbers of a customer's requests at this box.
     pub fn counts(&self, customer: &Customer) -> Counts {
         self.counts.get(customer).copied().unwrap_or_default()
     }
 
-    /// The use at which nothing more is admitted where all boxes hear each other.
+    /// Returns the use at and above which requests are refused while all boxes receive reports.
     pub fn limit(&self, allotment: &Allotment) -> f64 {
-        allotment.most(self.tolerance)
+        allotment.admission_limit(self.tolerance)
     }
 
-    /// Books another run of a request that was let in.
+    /// Books another attempt of an admitted request.
     pub fn book(&mut self, customer: &Customer, allotment: &Allotment, cost: f64, now: Time) {
         let sum = &mut self.account(customer, allotment, now).sum;
         sum.used += cost;
         sum.offered += cost;
     }
 
-    /// Takes a booking of the moment `booked` back: the request surely did not run.
+    /// Refunds a booking made at `booked`, for a request that certainly did not run.
     pub fn give_back(&mut self, customer: &Customer, cost: f64, booked: Time) {
         if let Some(account) = self.accounts.get_mut(customer) {
-            let left = account.left(account.at.since(booked));
-            account.sum.used = (account.sum.used - cost * left).max(0.0);
+            let factor = account.decay_factor(account.updated.since(booked));
+            account.sum.used = (account.sum.used - cost * factor).max(0.0);
         }
     }
 
     fn account(&mut self, customer: &Customer, allotment: &Allotment, now: Time) -> &mut Account {
-        let span = allotment.span();
+        let decay_time = allotment.decay_time();
         if !self.accounts.contains_key(customer) {
             let account = Account {
                 sum: Sum::default(),
-                at: now,
-                span,
+                updated: now,
+                decay_time,
             };
             self.accounts.insert(customer.clone(), account);
         }
         let account = self.accounts.get_mut(customer).expect("it was just added");
-        account.sum = account.at(now);
-        account.at = now;
-        account.span = span;
+        account.sum = account.sum_at(now);
+        account.updated = now;
+        account.decay_time = decay_time;
         account
     }
 
-    /// What this box uses of a customer's allotment at `now`.
+    /// Returns this box's use of a customer's allotment at `now`.
     pub fn sum(&self, customer: &Customer, now: Time) -> Sum {
         let account = self.accounts.get(customer);
-        account.map_or_else(Sum::default, |account| account.at(now))
+        account.map_or_else(Sum::default, |account| account.sum_at(now))
     }
 
-    /// What other boxes are told, in the order of the customers.
+    /// Returns the use to report to other boxes, sorted by customer.
     pub fn told(&self, now: Time) -> Vec<Use> {
-        let told = |(customer, account): (&Customer, &Account)| {
-            let sum = account.at(now);
-            let told = Use {
+        let report = |(customer, account): (&Customer, &Account)| {
+            let sum = account.sum_at(now);
+            let use_of_customer = Use {
                 customer: Short::of(customer.as_str()),
                 used: sum.used.round() as u32,
                 offered: sum.offered.round() as u32,
             };
-            (sum.offered >= LEAST).then_some(told)
+            (sum.offered >= MIN_REPORTED_UNITS).then_some(use_of_customer)
         };
-        let mut uses: Vec<Use> = self.accounts.iter().filter_map(told).collect();
-        uses.sort_unstable_by_key(|told| told.customer);
+        let mut uses: Vec<Use> = self.accounts.iter().filter_map(report).collect();
+        uses.sort_unstable_by_key(|reported| reported.customer);
         uses
     }
 
-    /// Forgets the accounts that have faded.
+    /// Removes accounts whose use has decayed below the minimum.
     pub fn sweep(&mut self, now: Time) {
-        let alive = |account: &Account| account.at(now).offered >= LEAST;
-        self.accounts.retain(|_, account| alive(account));
+        let is_in_use = |account: &Account| account.sum_at(now).offered >= MIN_REPORTED_UNITS;
+        self.accounts.retain(|_, account| is_in_use(account));
     }
 
-    /// Forgets the customers that `known` does not name.
+    /// Removes the counts of customers that `known` does not include.
     pub fn retain(&mut self, known: impl Fn(&Customer) -> bool) {
         self.counts.retain(|customer, _| known(customer));
     }
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -1,29 +1,32 @@
-//! A rate that is saved up between uses.
+//! A token bucket.
 
 use crate::unit::{Rate, Time};
 
-/// What is saved up of a rate that the holder of the bucket tells at each call.
+/// A token bucket whose rate and capacity are passed with each call.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
-    saved: f64,
-    at: Time,
+    tokens: f64,
+    updated: Time,
 }
 
 impl Bucket {
-    /// A bucket with this much in it at `now`.
-    pub fn new(saved: f64, now: Time) -> Self {
-        Self { saved, at: now }
+    /// Creates a bucket with this many tokens at `now`.
+    pub fn new(tokens: f64, now: Time) -> Self {
+        Self {
+            tokens,
+            updated: now,
+        }
     }
 
-    /// What is in it at `now`, at `rate` and at `most` so much.
-    pub fn saved(&self, rate: Rate, most: f64, now: Time) -> f64 {
-        let earned = now.since(self.at).0 as f64 / 1000.0 * rate.0;
-        (self.saved + earned).min(most)
+    /// Returns the tokens at `now`, refilled at `rate` and limited to `capacity`.
+    pub fn tokens(&self, rate: Rate, capacity: f64, now: Time) -> f64 {
+        let earned = now.since(self.updated).0 as f64 / 1000.0 * rate.0;
+        (self.tokens + earned).min(capacity)
     }
 
-    /// Takes one out.
-    pub fn spend(&mut self, rate: Rate, most: f64, now: Time) {
-        self.saved = self.saved(rate, most, now) - 1.0;
-        self.at = now;
+    /// Removes one token; the level may become negative.
+    pub fn take(&mut self, rate: Rate, capacity: f64, now: Time) {
+        self.tokens = self.tokens(rate, capacity, now) - 1.0;
+        self.updated = now;
     }
 }
--- a/src/content.rs
+++ b/src/content.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, whoever sends it again and under whatever id.
+//! The identity of a request's content, independent of its sender and its request id.
 
 use std::fmt;
 
@@ -6,27 +6,27 @@
 
 use crate::{id, settings::Secret, sign, wire::Short};
 
-/// What the hash is made for; another purpose's hash of the same bytes differs.
+/// Domain separator of the hash: a hash of the same bytes for another purpose differs.
 const PURPOSE: &str = "content";
 
-/// A keyed hash of a request's method, target and body: without the boxes' secret nobody can make
-/// another request that looks alike.
+/// A keyed hash of a request's method, host, target and body. Without the secret shared by the
+/// boxes, nobody can construct another request with the same hash.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Content(pub u64);
 
 impl Content {
-    /// The hash of a request.
+    /// Hashes a request.
     pub fn of(secret: &Secret, method: &str, host: &str, target: &str, body: &[u8]) -> Self {
-        let ends = |part: &str| (part.len() as u32).to_le_bytes();
-        let [method_end, host_end, target_end] = [method, host, target].map(ends);
+        let length = |part: &str| (part.len() as u32).to_le_bytes();
+        let [method_length, host_length, target_length] = [method, host, target].map(length);
         let parts: [&[u8]; 7] = [
-            &method_end,
+            &method_length,
             method.as_bytes(),
-            &host_end,
+            &host_length,
             host.as_bytes(),
-            &target_end,
+            &target_length,
             target.as_bytes(),
             body,
         ];
@@ -34,17 +34,17 @@
     }
 }
 
-/// A customer's request, whichever box it comes to.
+/// A customer and the content it requested, the same at every box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// The customer.
     pub customer: Short,
-    /// What it asks for.
+    /// The content of the request.
     pub content: Content,
 }
 
 impl Fingerprint {
-    /// The fingerprint of what `customer` asks for.
+    /// Creates the fingerprint of a content requested by `customer`.
     pub fn new(customer: &id::Customer, content: Content) -> Self {
         Self {
             customer: Short::of(customer.as_str()),
--- a/src/detector.rs
+++ b/src/detector.rs
@@ -1,71 +1,75 @@
-//! A failure detector for one backend server: when have its streams been silent for too long?
+//! A failure detector for one backend server, based on how long its streams have received no data.
 //!
-//! An engine produces tokens for all its streams in the same steps, so where none of them brings
-//! anything for several times their usual pause, the engine or the way to it is gone. Time is counted
-//! in ticks of this box: one that stood still has not listened, and must not blame the engines.
+//! An engine produces tokens for all its streams in the same steps, so if none of them receives
+//! data for several times the usual pause, the engine or the network path to it has failed. Time is
+//! counted in ticks of this box: a box that was suspended did not listen meanwhile and must not
+//! attribute the gap to the engines.
 
 use crate::unit::{self, Millis, Time};
 
-/// Streams whose silence tells of a failure. One alone may have been preempted by its engine, which
-/// then reads its prompt anew.
-const WITNESSES: usize = 2;
-/// Shortest silence that tells of a failure. An engine reads a piece of a prompt between two steps,
-/// about 40 ms, and an event takes several steps, so single pauses reach 300 ms.
-const LEAST: Millis = Millis(300);
-/// How much longer the silence must be where there are no more streams than [`WITNESSES`].
-const FEW: Millis = Millis(300);
-/// How many times the longest pause that was seen lately a silence must last.
-const PAUSES: f64 = 1.5;
-/// Half of the longest pause is forgotten in this time: long prompts, which make pauses, come
-/// seconds apart.
-const HALF_LIFE: Millis = Millis(4000);
+/// Streams whose silence indicates a failure. A single stream may have been preempted by its
+/// engine, which then processes its prompt again.
+const MIN_STREAMS: usize = 2;
+/// Shortest silence that indicates a failure. An engine processes a part of a prompt between two
+/// steps, about 40 ms, and an event takes several steps, so single pauses reach 300 ms.
+const MIN_SILENCE: Millis = Millis(300);
+/// Additional silence that is required if there are no more than [`MIN_STREAMS`] streams.
+const FEW_STREAMS_MARGIN: Millis = Millis(300);
+/// Factor by which the silence must exceed the longest recent pause.
+const PAUSE_FACTOR: f64 = 1.5;
+/// Half-life of the longest pause. Long prompts, which cause pauses, arrive seconds apart.
+const PAUSE_HALF_LIFE: Millis = Millis(4000);
 
-/// What the streams of one backend server tell of it.
+/// The silence and pauses of the streams of one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
-    /// How long its streams have brought nothing while this box listened.
+    /// How long its streams have received no data while this box was listening.
     silence: Millis,
-    /// The longest pause of a stream, as of `at`.
-    pause: f64,
-    at: Time,
-    /// When it was taken for failed, where it still is.
-    failed: Option<Time>,
+    /// The longest pause of a stream in milliseconds, as of `updated`.
+    longest_pause: f64,
+    updated: Time,
+    /// When the server was considered failed, if it still is.
+    failed_at: Option<Time>,
 }
 
 impl Detector {
-    fn usual(&self, now: Time) -> f64 {
-        self.pause * unit::left_after(now.since(self.at), HALF_LIFE)
+    fn decayed_pause(&self, now: Time) -> f64 {
+        self.longest_pause * unit::decay_factor(now.since(self.updated), PAUSE_HALF_LIFE)
     }
 
-    /// Notes that something came, and the longest pause of a stream since the last note. True where
-    /// the server was taken for failed until now.
+    /// Records that data arrived, and the longest pause of a stream since the last call. Returns
+    /// true if the server was considered failed until now.
     pub fn hear(&mut self, pause: Millis, now: Time) -> bool {
-        self.pause = self.usual(now).max(pause.0 as f64);
-        self.at = now;
+        self.longest_pause = self.decayed_pause(now).max(pause.0 as f64);
+        self.updated = now;
         self.silence = Millis(0);
-        self.failed.take().is_some()
+        self.failed_at.take().is_some()
     }
 
-    /// Notes that `span` passed in which `streams` were open and brought nothing. True where the
-    /// server counts as failed from now on.
+    /// Records that `streams` were open for `span` without receiving data. Returns true if the
+    /// server is considered failed from now on.
     pub fn wait(&mut self, span: Millis, streams: usize, now: Time) -> bool {
-        if streams < WITNESSES {
+        if streams < MIN_STREAMS {
             self.silence = Millis(0);
             return false;
         }
         self.silence = self.silence + span;
-        let few = if streams > WITNESSES { Millis(0) } else { FEW };
-        let usual = Millis((self.usual(now) * PAUSES) as u64);
-        let over = self.silence > LEAST.max(usual) + few;
-        let fresh = over && self.failed.is_none();
-        if fresh {
-            self.failed = Some(now);
+        let margin = if streams > MIN_STREAMS {
+            Millis(0)
+        } else {
+            FEW_STREAMS_MARGIN
+        };
+        let tolerated = Millis((self.decayed_pause(now) * PAUSE_FACTOR) as u64);
+        let overdue = self.silence > MIN_SILENCE.max(tolerated) + margin;
+        let newly_failed = overdue && self.failed_at.is_none();
+        if newly_failed {
+            self.failed_at = Some(now);
         }
-        fresh
+        newly_failed
     }
 
-    /// When the server was taken for failed, where it still is.
+    /// Returns when the server was considered failed, if it still is.
     pub fn failed_at(&self) -> Option<Time> {
-        self.failed
+        self.failed_at
     }
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,20 +1,20 @@
-//! Names of the things the operators label, as newtypes.
+//! Newtypes for the names that operators assign, and for the ids of requests, attempts and boxes.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 64;
 
-/// Says why a name was refused.
+/// Why a name was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// The name has no characters.
     Empty,
     /// The name is longer than [`MAX_NAME`] bytes.
     Long,
-    /// The name holds a character other than ASCII letters, digits, `.`, `_` and `-`.
+    /// The name contains a character other than ASCII letters, digits, `.`, `_` and `-`.
     Character(char),
 }
 
@@ -52,7 +52,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -94,11 +94,11 @@
 }
 
 name!(
-    /// One of our machines; `box` is a reserved word of the language.
+    /// A box: one machine running the gateway. `box` itself is a reserved word in Rust.
     BoxName
 );
 name!(
-    /// A region, the unit that the network may cut off.
+    /// A region, the unit that a network partition may cut off.
     Region
 );
 name!(
@@ -106,7 +106,7 @@
     Domain
 );
 name!(
-    /// A customer, known by its API keys.
+    /// A customer, identified by its API keys.
     Customer
 );
 name!(
@@ -114,7 +114,7 @@
     Backend
 );
 name!(
-    /// What a backend server serves: the name of a model or of an application route.
+    /// The service of a backend server: the name of a model or of an application route.
     Service
 );
 name!(
@@ -126,7 +126,7 @@
     Selector
 );
 
-/// One request inside one box; never used twice by a process.
+/// The id of one request at one box, unique within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request(pub u64);
 
@@ -136,18 +136,19 @@
     }
 }
 
-/// One try of a request at one place; never used twice by a process.
+/// The id of one attempt of a request, unique within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub u64);
 
-/// One life of a box: a later start has a greater number.
+/// The incarnation of a box: greater after each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
     const RANDOM_BITS: u32 = 16;
 
-    /// Joins the wall clock at start (ms since 1970) with random bits, so that two starts differ.
+    /// Combines the wall clock at start (ms since 1970) with random bits, so that two starts
+    /// differ.
     pub fn new(wall_ms: u64, random: u16) -> Self {
         Self((wall_ms << Self::RANDOM_BITS) | u64::from(random))
     }
--- a/src/ini.rs
+++ b/src/ini.rs
@@ -5,19 +5,19 @@
 use ::ini::{Ini, ParseOption, Properties};
 use similar::TextDiff;
 
-/// Part of the letters that a misspelt key shares with the one that is suggested.
-const ALIKE: f32 = 0.7;
+/// Minimum similarity of a misspelt key to the key that is suggested.
+const MIN_SIMILARITY: f32 = 0.7;
 
-/// One thing that is wrong with a text, and where.
+/// One fault in a text, and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file, or what the text was called by its giver.
+    /// The name of the file or other source.
     pub file: String,
     /// The section; empty for the text as a whole.
     pub section: String,
     /// The key; empty for the section as a whole.
     pub key: String,
-    /// What is wrong, in a short sentence.
+    /// A short description of the fault.
     pub problem: String,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Every fault of one text.
+/// All faults of one text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -44,7 +44,7 @@
 
 impl std::error::Error for Faults {}
 
-/// A parsed text that gathers faults while it is read.
+/// A parsed text that collects faults while it is read.
 pub struct Reader {
     file: String,
     ini: Ini,
@@ -52,7 +52,7 @@
 }
 
 impl Reader {
-    /// Parses `text`; `file` is the name that faults carry.
+    /// Parses `text`; `file` is the name used in faults.
     pub fn new(file: &str, text: &str) -> Result<Self, Faults> {
         let option = ParseOption {
             enabled_quote: false,
@@ -73,37 +73,37 @@
             ini,
             faults: Vec::new(),
         };
-        reader.refuse_loose_keys();
-        reader.refuse_repeats(text);
+        reader.reject_keys_outside_sections();
+        reader.reject_repeated_sections(text);
         Ok(reader)
     }
 
-    fn refuse_loose_keys(&mut self) {
-        let loose: Vec<String> = self
+    fn reject_keys_outside_sections(&mut self) {
+        let keys: Vec<String> = self
             .ini
             .general_section()
             .iter()
             .map(|(key, _)| key.to_owned())
             .collect();
-        for key in loose {
-            self.fault("", &key, "stands before the first section");
+        for key in keys {
+            self.fault("", &key, "appears before the first section");
         }
     }
 
-    /// The library joins sections of one name in silence, so their titles are read here.
-    fn refuse_repeats(&mut self, text: &str) {
+    /// The library silently merges sections of the same name, so their titles are read here.
+    fn reject_repeated_sections(&mut self, text: &str) {
         let mut seen = BTreeSet::new();
         let titles = text.lines().filter_map(|line| {
             let (title, _) = line.trim().strip_prefix('[')?.split_once(']')?;
             Some(title.trim().to_owned())
         });
-        let twice: Vec<String> = titles.filter(|title| !seen.insert(title.clone())).collect();
-        for section in twice {
+        let repeated: Vec<String> = titles.filter(|title| !seen.insert(title.clone())).collect();
+        for section in repeated {
             self.fault(&section, "", "stands twice");
         }
     }
 
-    /// Notes a fault.
+    /// Records a fault.
     pub fn fault(&mut self, section: &str, key: &str, problem: impl fmt::Display) {
         self.faults.push(Fault {
             file: self.file.clone(),
@@ -113,7 +113,7 @@
         });
     }
 
-    /// The sections' names, in the order of the text.
+    /// Returns the names of the sections, in the order of the text.
     pub fn sections(&self) -> Vec<String> {
         self.ini.sections().flatten().map(str::to_owned).collect()
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Ends the reading with `value`, or with the faults where there were any.
+    /// Returns `value`, or the faults if there are any.
     pub fn finish<T>(self, value: Option<T>) -> Result<T, Faults> {
         match value {
             Some(value) if self.faults.is_empty() => Ok(value),
@@ -138,7 +138,7 @@
     }
 }
 
-/// One section under reading; [`Section::end`] refuses the keys nobody asked for.
+/// A section being read; [`Section::end`] rejects the keys that were not read.
 pub struct Section<'a> {
     reader: &'a mut Reader,
     name: String,
@@ -147,7 +147,7 @@
 }
 
 impl Section<'_> {
-    /// Notes a fault of this section.
+    /// Records a fault of this section.
     pub fn fault(&mut self, key: &str, problem: impl fmt::Display) {
         let name = self.name.clone();
         self.reader.fault(&name, key, problem);
@@ -162,7 +162,7 @@
         values.into_iter().next().map(|v| v.trim().to_owned())
     }
 
-    /// Reads a key that may be absent; an unreadable value is a fault and reads as absent.
+    /// Reads an optional key; an unreadable value is a fault and reads as absent.
     pub fn optional<T>(&mut self, key: &str) -> Option<T>
     where
         T: FromStr,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Reads a key that must be there.
+    /// Reads a required key.
     pub fn required<T>(&mut self, key: &str) -> Option<T>
     where
         T: FromStr,
@@ -218,16 +218,16 @@
         values
     }
 
-    /// Refuses every key that was not read.
+    /// Rejects every key that was not read.
     pub fn end(mut self) {
-        let odd: Vec<String> = self
+        let unread: Vec<String> = self
             .properties
             .iter()
             .map(|(key, _)| key.to_owned())
             .filter(|key| !self.known.contains(key))
             .collect();
-        for key in odd {
-            let problem = match self.nearest(&key) {
+        for key in unread {
+            let problem = match self.most_similar(&key) {
                 Some(known) => format!("is not a key of this section; did you mean {known:?}?"),
                 None => "is not a key of this section".to_owned(),
             };
@@ -235,14 +235,14 @@
         }
     }
 
-    /// The key of this section that is most like `key`, where one is.
-    fn nearest(&self, key: &str) -> Option<&str> {
-        let alike = self.known.iter().map(|known| {
+    /// Returns the key of this section that is most similar to `key`, if one is similar enough.
+    fn most_similar(&self, key: &str) -> Option<&str> {
+        let ratios = self.known.iter().map(|known| {
             let ratio = TextDiff::from_chars(key, known.as_str()).ratio();
             (ratio, known.as_str())
         });
-        let best = alike.max_by(|a, b| a.0.total_cmp(&b.0));
-        best.filter(|(ratio, _)| *ratio >= ALIKE)
+        let best = ratios.max_by(|a, b| a.0.total_cmp(&b.0));
+        best.filter(|(ratio, _)| *ratio >= MIN_SIMILARITY)
             .map(|(_, known)| known)
     }
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What this box remembers of the keys it has run, until each expires.
+//! The idempotency keys that this box has run, kept until each expires.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,39 +8,39 @@
     unit::{Millis, Time},
 };
 
-/// Most keys remembered at once; a new key is refused as not run beyond it.
+/// Maximum number of keys kept; beyond it, a new key is refused as not run.
 pub const MAX_KEYS: usize = 100_000;
-/// Most requests that wait for one running key.
+/// Maximum number of requests that wait for one running key.
 pub const MAX_JOINERS: usize = 16;
 
-/// How soon an expired key that still runs is looked at again.
-const RECHECK: Millis = Millis(1000);
+/// How soon an expired key that is still running is checked again.
+const RECHECK_INTERVAL: Millis = Millis(1000);
 
-/// How far the request of a key has come.
+/// The progress of the request of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is in hand; the joiners wait for its answer.
+    /// The request is in flight; the joiners wait for its answer.
     Running {
-        /// Re-sends that wait.
+        /// Repeated requests that wait.
         joiners: Vec<id::Request>,
     },
-    /// It ran and its answer went out whole.
+    /// The request ran, and its complete answer was sent.
     Finished,
-    /// It may have run; nobody knows.
+    /// The request may have run; its outcome is unknown.
     Unknown,
-    /// Its caller was told "not run", so it never will: an older send of it may still be on its
-    /// way here.
+    /// The caller was answered "not run", so the request must never run: an older copy of it may
+    /// still be in transit to this box.
     Void,
 }
 
-/// A key within its caller's own space.
+/// A key within its customer's namespace.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Slot {
+struct ScopedKey {
     customer: id::Customer,
     digest: Digest,
 }
 
-impl Slot {
+impl ScopedKey {
     fn of(customer: &id::Customer, key: &Key) -> Self {
         Self {
             customer: customer.clone(),
@@ -49,10 +49,10 @@
     }
 }
 
-/// One remembered key.
+/// The state of one key.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The request that runs it, or ran it.
+    /// The request that runs the key, or ran it.
     pub owner: id::Request,
     /// Its progress.
     pub phase: Phase,
@@ -60,14 +60,14 @@
     expiry: Time,
 }
 
-/// What became of a key that was brought to the ledger.
+/// The result of claiming a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The key is new and now belongs to the request.
+    /// The key is new and is now owned by the request.
     Fresh,
-    /// The request waits for this one, which is in hand.
+    /// The request waits for this one, which is in flight.
     Joined(id::Request),
-    /// The key ran as this request; its answer may be at hand.
+    /// The key ran as this request; its answer may still be available.
     Finished(id::Request),
     /// The key may have run.
     Unknown,
@@ -75,65 +75,67 @@
     Void,
     /// The key was used for another request.
     Mismatch,
-    /// The ledger, or the line of joiners, is full; nothing is known of the key.
+    /// The ledger, or the list of joiners, is full; the state of the key is unknown.
     Full,
 }
 
-/// The remembered keys of one box.
+/// The idempotency keys of one box.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    entries: HashMap<Slot, Entry>,
-    ends: BTreeSet<(Time, id::Request)>,
-    owners: HashMap<id::Request, Slot>,
+    entries: HashMap<ScopedKey, Entry>,
+    expiries: BTreeSet<(Time, id::Request)>,
+    owners: HashMap<id::Request, ScopedKey>,
 }
 
 impl Ledger {
-    /// Brings a caller's `key` for `request`; the pin was found to name this box and to live.
+    /// Claims a customer's `key` for `request`. The caller has checked that the pin names this box
+    /// and has not expired.
     pub fn claim(&mut self, customer: &id::Customer, key: &Key, request: id::Request) -> Outcome {
-        let slot = Slot::of(customer, key);
-        if let Some(entry) = self.entries.get_mut(&slot) {
-            return entry.meet(key, request);
+        let scoped_key = ScopedKey::of(customer, key);
+        if let Some(entry) = self.entries.get_mut(&scoped_key) {
+            return entry.claim_again(key, request);
         }
         if self.entries.len() >= MAX_KEYS {
             return Outcome::Full;
         }
-        self.insert(slot, key, request, Phase::Running { joiners: vec![] });
+        self.insert(scoped_key, key, request, Phase::Running { joiners: vec![] });
         Outcome::Fresh
     }
 
-    /// Rules out that an unknown `key` ever runs; false where it may have, or cannot be ruled out.
+    /// Ensures that a `key` that is not in the ledger never runs. Returns false if it may have run
+    /// or if this cannot be ensured.
     pub fn void(&mut self, customer: &id::Customer, key: &Key, request: id::Request) -> bool {
-        let slot = Slot::of(customer, key);
-        if let Some(entry) = self.entries.get(&slot) {
+        let scoped_key = ScopedKey::of(customer, key);
+        if let Some(entry) = self.entries.get(&scoped_key) {
             return entry.phase == Phase::Void;
         }
         if self.entries.len() >= MAX_KEYS {
             return false;
         }
-        self.insert(slot, key, request, Phase::Void);
+        self.insert(scoped_key, key, request, Phase::Void);
         true
     }
 
-    /// Whether a caller's `key` is remembered.
+    /// Reports whether a customer's `key` is in the ledger.
     pub fn knows(&self, customer: &id::Customer, key: &Key) -> bool {
-        self.entries.contains_key(&Slot::of(customer, key))
+        self.entries.contains_key(&ScopedKey::of(customer, key))
     }
 
-    fn insert(&mut self, slot: Slot, key: &Key, request: id::Request, phase: Phase) {
+    fn insert(&mut self, scoped_key: ScopedKey, key: &Key, request: id::Request, phase: Phase) {
         let entry = Entry {
             owner: request,
             phase,
             content: key.content,
             expiry: key.pin.expiry,
         };
-        self.entries.insert(slot.clone(), entry);
-        self.ends.insert((key.pin.expiry, request));
-        self.owners.insert(request, slot);
+        self.entries.insert(scoped_key.clone(), entry);
+        self.expiries.insert((key.pin.expiry, request));
+        self.owners.insert(request, scoped_key);
     }
 
-    /// Notes how the owner ended and returns the requests that waited for it.
+    /// Records how the owner ended, and returns the requests that waited for it.
     pub fn settle(&mut self, owner: id::Request, phase: Phase) -> Vec<id::Request> {
-        let Some(entry) = self.owned(owner) else {
+        let Some(entry) = self.entry_of(owner) else {
             return vec![];
         };
         let Phase::Running { joiners } = &mut entry.phase else {
@@ -144,85 +146,85 @@
         joiners
     }
 
-    /// Makes `joiner`, which waits for `owner`, the owner in its place; `owner` then waits for it.
+    /// Makes `joiner`, which waits for `owner`, the owner of the key; `owner` then waits for it.
     pub fn hand_over(&mut self, owner: id::Request, joiner: id::Request) {
-        let Some(slot) = self.owners.remove(&owner) else {
+        let Some(scoped_key) = self.owners.remove(&owner) else {
             return;
         };
-        if let Some(entry) = self.entries.get_mut(&slot) {
+        if let Some(entry) = self.entries.get_mut(&scoped_key) {
             entry.owner = joiner;
             if let Phase::Running { joiners } = &mut entry.phase {
                 joiners.retain(|j| *j != joiner);
                 joiners.push(owner);
             }
-            self.ends.remove(&(entry.expiry, owner));
-            self.ends.insert((entry.expiry, joiner));
+            self.expiries.remove(&(entry.expiry, owner));
+            self.expiries.insert((entry.expiry, joiner));
         }
-        self.owners.insert(joiner, slot);
+        self.owners.insert(joiner, scoped_key);
     }
 
-    /// Takes a joiner out whose caller went away.
+    /// Removes a joiner whose caller disconnected.
     pub fn leave(&mut self, owner: id::Request, joiner: id::Request) {
-        if let Some(Phase::Running { joiners }) = self.owned(owner).map(|e| &mut e.phase) {
+        if let Some(Phase::Running { joiners }) = self.entry_of(owner).map(|e| &mut e.phase) {
             joiners.retain(|j| *j != joiner);
         }
     }
 
-    fn owned(&mut self, owner: id::Request) -> Option<&mut Entry> {
-        let slot = self.owners.get(&owner)?;
-        self.entries.get_mut(slot)
+    fn entry_of(&mut self, owner: id::Request) -> Option<&mut Entry> {
+        let scoped_key = self.owners.get(&owner)?;
+        self.entries.get_mut(scoped_key)
     }
 
-    /// Forgets the keys whose time is over and returns their owners; one in hand stays.
+    /// Removes expired keys and returns their owners; a key in flight is kept.
     pub fn expire(&mut self, now: Time) -> Vec<id::Request> {
-        let mut gone = Vec::new();
-        while let Some(&(end, owner)) = self.ends.first() {
-            if end > now {
+        let mut expired = Vec::new();
+        while let Some(&(expiry, owner)) = self.expiries.first() {
+            if expiry > now {
                 break;
             }
             if self.is_running(owner) {
-                // Looked at again once it has ended.
-                self.ends.remove(&(end, owner));
-                let later = now + RECHECK;
-                self.ends.insert((later, owner));
-                if let Some(entry) = self.owned(owner) {
+                // It is checked again later, since its request may still be running.
+                self.expiries.remove(&(expiry, owner));
+                let later = now + RECHECK_INTERVAL;
+                self.expiries.insert((later, owner));
+                if let Some(entry) = self.entry_of(owner) {
                     entry.expiry = later;
                 }
                 continue;
             }
             self.forget(owner);
-            gone.push(owner);
+            expired.push(owner);
         }
-        gone
+        expired
     }
 
     fn is_running(&mut self, owner: id::Request) -> bool {
-        let entry = self.owned(owner);
+        let entry = self.entry_of(owner);
         entry.is_some_and(|e| matches!(e.phase, Phase::Running { .. }))
     }
 
     fn forget(&mut self, owner: id::Request) {
-        let Some(slot) = self.owners.remove(&owner) else {
+        let Some(scoped_key) = self.owners.remove(&owner) else {
             return;
         };
-        if let Some(entry) = self.entries.remove(&slot) {
-            self.ends.remove(&(entry.expiry, owner));
+        if let Some(entry) = self.entries.remove(&scoped_key) {
+            self.expiries.remove(&(entry.expiry, owner));
         }
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Reports whether the ledger has no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
 impl Entry {
-    fn meet(&mut self, key: &Key, request: id::Request) -> Outcome {
+    fn claim_again(&mut self, key: &Key, request: id::Request) -> Outcome {
         if self.content != key.content {
             return Outcome::Mismatch;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,25 +1,25 @@
 //! petreldrum: a multi-region inference gateway.
 //!
-//! A gateway process stands on each box between callers and backend servers. This map goes from
-//! what is told to a box, through what it decides, to how that is carried out.
+//! A gateway process runs on each box, between callers and backend servers. The modules, from basic
+//! types and configuration through decisions to I/O:
 //!
-//! | noun | module |
+//! | topic | module |
 //! |---|---|
 //! | names, sizes, times | [`id`], [`mod@unit`] |
-//! | what a request asks for | [`content`] |
+//! | content of requests | [`content`] |
 //! | whether a request may have run | [`verdict`] |
-//! | one box's settings, its size, INI reading | [`settings`], [`size`], [`ini`] |
-//! | the operators' configuration and who may go where | [`config`] |
-//! | the reducer: events in, effects out | [`reducer`] |
-//! | where a request goes | [`policy`], [`fleet`], [`server`], [`limit`], [`pushback`], [`detector`], [`queue`], [`allotment`], [`retry`], [`bucket`], [`quarantine`] |
-//! | what engines keep of prompts | [`memory`] |
-//! | another release of backend servers, watched | [`rollout`] |
-//! | how customers are served | [`service`] |
-//! | at most once | [`pin`], [`ledger`] |
+//! | settings of one box, its size, INI parsing | [`settings`], [`size`], [`ini`] |
+//! | the operators' configuration, including permitted regions | [`config`] |
+//! | the reducer, which turns events into effects | [`reducer`] |
+//! | placement, limits and retries of requests | [`policy`], [`fleet`], [`server`], [`limit`], [`pushback`], [`detector`], [`queue`], [`allotment`], [`retry`], [`bucket`], [`quarantine`] |
+//! | prompt caches of engines | [`memory`] |
+//! | roll-outs of releases of backend servers | [`rollout`] |
+//! | quality of service by customer | [`service`] |
+//! | at-most-once execution | [`pin`], [`ledger`] |
 //! | other boxes and regions | [`member`], [`wire`] |
 //! | the users' platform: its names, formats and calls | [`platform`] |
 //! | sockets, clocks and tasks around the reducer | [`gateway`] |
-//! | a request's story out of logs | [`story`] |
+//! | log lines of one request | [`story`] |
 //! | subcommands of the binary | [`cmd`] |
 
 pub mod allotment;
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,12 +1,14 @@
-//! How many requests a second a backend server says that it takes, from all boxes together.
+//! Rate limits that backend servers announce, in requests per second over all boxes.
 //!
-//! Load pattern: a server in need names a rate in its answers for as long as the need lasts, and goes on
-//! serving. Each box hears some of its answers only, and a box that sends nothing there hears none; so what
-//! one box is told goes to all boxes of its region, and each sends its share and no more.
+//! Load pattern: an overloaded server announces a rate in its answers for as long as the overload
+//! lasts, and continues to serve. Each box sees only some of these answers, and a box that sends
+//! nothing to the server sees none; so a limit seen by one box is reported to all boxes of its
+//! region, and each box sends no more than its share.
 //!
-//! What is newest: a lower rate holds from the moment at which it was read. A higher one, or none, proves no
-//! more than how things stood when its request was sent, since the answer may have waited in a box that stood
-//! still. A server's word of an earlier life says nothing of a later one.
+//! Ordering: a lower rate takes effect at the time its answer was read. A higher rate, or none,
+//! only reflects the server's state when the request was sent, since the answer may have waited in
+//! a box that was suspended. A limit announced by an earlier incarnation of a server does not apply
+//! to a later one.
 
 use crate::{
     bucket::Bucket,
@@ -14,46 +16,50 @@
     unit::{Millis, Rate, Time},
 };
 
-/// The rate at which a server is asked that takes less, so that the end of its limit is heard: one request
-/// in ten seconds, which the five that a platform lets pass beyond the limit in some seconds cover.
+/// Lowest rate at which the boxes together send to a server with a limit, so that they notice when
+/// the limit ends: one request in ten seconds. The five requests above the limit that the platform
+/// permits within a few seconds cover it.
 pub const PROBE: Rate = Rate(0.1);
-/// Part of a limit that is used: boxes may disagree for a moment on who shares it.
-const PART: f64 = 0.9;
-/// Boxes that share a limit: these, and so many more for each request a second. Each may save up one request,
-/// so a server that takes N a second gets at most 5.6 N + 2 in four seconds, where 6 N + 5 may pass.
-const SENDERS: usize = 2;
-const SENDERS_MORE: f64 = 2.0;
-/// What a box saves up of its share, and one request at least. With a tenth of this three boxes used 0.53 of
-/// 20 a second where 24 came at random, and 0.90 with it (`measure limits`).
-const SAVED: Millis = Millis(1000);
-/// Time between two messages to the others on one server, for one whose limit changes with each answer.
-const TELL_AGAIN: Millis = Millis(1000);
+/// Part of a limit that is used, since boxes may briefly disagree on which of them share it.
+const USED_SHARE: f64 = 0.9;
+/// Number of boxes that share a limit: a fixed number, and more for each request per second of the
+/// limit. Each may accumulate one request, so a server with a limit of N per second receives at
+/// most 5.6 N + 2 in four seconds, where 6 N + 5 are permitted.
+const MIN_SENDERS: usize = 2;
+const SENDERS_PER_UNIT_RATE: f64 = 2.0;
+/// Time over which a box accumulates unused parts of its share; the capacity is at least one
+/// request. With a tenth of this time, three boxes used 0.53 of a limit of 20 per second under
+/// random arrivals at 24 per second, and 0.90 with it (`measure limits`).
+const ACCUMULATION_TIME: Millis = Millis(1000);
+/// Minimum interval between two reports to other boxes about one server, for a server whose limit
+/// changes with each answer.
+const REPORT_INTERVAL: Millis = Millis(1000);
 
-/// What one answer of a backend server says of its limit.
+/// The limit announced in one answer of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Word {
-    /// Nothing: it takes what its slots allow.
+    /// No limit is announced: the server takes as many requests as it has slots.
     Silent,
-    /// It takes no more than this.
+    /// The maximum rate that the server takes.
     Most(Rate),
-    /// Something that is no such number: it counts as nothing.
+    /// The header is not a valid rate and is ignored.
     Unreadable,
 }
 
 impl Word {
-    /// Reads the header of an answer, which may stand there several times or hold a list: the least
-    /// number holds. Numbers are finite and not negative; anything else is left aside.
+    /// Reads the header of an answer. The header may be repeated or hold a list; the lowest valid
+    /// number applies. Numbers must be finite and not negative; others are ignored.
     pub fn read<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut fields = fields.into_iter().peekable();
         if fields.peek().is_none() {
             return Self::Silent;
         }
-        let numbers = fields.flat_map(|field| field.split(|byte| *byte == b','));
-        let least = numbers.filter_map(number).reduce(f64::min);
-        least.map_or(Self::Unreadable, |least| Self::Most(Rate(least)))
+        let rates = fields.flat_map(|field| field.split(|byte| *byte == b','));
+        let lowest = rates.filter_map(parse_rate).reduce(f64::min);
+        lowest.map_or(Self::Unreadable, |lowest| Self::Most(Rate(lowest)))
     }
 
-    /// The limit that it names.
+    /// Returns the announced rate, if any.
     pub fn rate(self) -> Option<Rate> {
         match self {
             Self::Most(rate) => Some(rate),
@@ -62,73 +68,73 @@
     }
 }
 
-fn number(text: &[u8]) -> Option<f64> {
-    let number: f64 = str::from_utf8(text).ok()?.trim().parse().ok()?;
-    is_rate(number).then_some(number.abs())
+fn parse_rate(text: &[u8]) -> Option<f64> {
+    let rate: f64 = str::from_utf8(text).ok()?.trim().parse().ok()?;
+    is_valid_rate(rate).then_some(rate.abs())
 }
 
-fn is_rate(number: f64) -> bool {
-    number.is_finite() && number >= 0.0
+fn is_valid_rate(rate: f64) -> bool {
+    rate.is_finite() && rate >= 0.0
 }
 
-/// How many boxes share a limit, of `boxes` that may send.
+/// Returns the number of boxes that share a limit, out of `boxes` that may send.
 fn senders(rate: Rate, boxes: usize) -> usize {
-    boxes.min(SENDERS.saturating_add((SENDERS_MORE * rate.0) as usize))
+    boxes.min(MIN_SENDERS.saturating_add((SENDERS_PER_UNIT_RATE * rate.0) as usize))
 }
 
-/// A box's part of a limit.
+/// One box's share of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// What it may send.
+    /// The rate at which the box may send.
     pub rate: Rate,
-    /// The part of a request that it has saved up at first, so that the boxes' requests come one after the
-    /// other and not all at once.
+    /// The part of a request with which the box's bucket starts. It differs between boxes, so that
+    /// their requests are spread over time instead of sent all at once.
     pub start: f64,
 }
 
-/// The share of the box with this rank among those that may send.
+/// Returns the share of the box with this rank among the boxes that may send.
 pub fn share(rate: Rate, rank: usize, boxes: usize) -> Share {
     let senders = senders(rate, boxes);
     if rank >= senders {
         return Share::default();
     }
     Share {
-        rate: Rate((PART * rate.0).max(PROBE.0) / senders as f64),
+        rate: Rate((USED_SHARE * rate.0).max(PROBE.0) / senders as f64),
         start: rank as f64 / senders as f64,
     }
 }
 
-/// What another box's word on a server's limit was worth.
+/// The effect of another box's report of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Worth {
-    /// It changes what this box believes.
+    /// The report changed the limit known to this box.
     News,
-    /// This box knew as much.
+    /// The report agrees with the limit known to this box.
     Known,
-    /// This box knows better.
+    /// The report is out of date: this box has a newer limit.
     Old,
 }
 
-/// What a box believes of one backend server's limit, and what it does about it.
+/// The state of one backend server's rate limit at this box.
 #[derive(Clone, Debug, Default)]
 pub struct Limit {
-    /// What the server takes of all boxes; none where it names nothing.
+    /// The limit over all boxes; `None` if the server announces none.
     rate: Option<Rate>,
-    /// The moment that this speaks of; none before it named anything.
+    /// The time to which `rate` applies; `None` before any limit was announced.
     at: Option<Time>,
-    /// The box that told it; none where this one was told by the server.
+    /// The box that reported the limit; `None` if this box read it from an answer itself.
     teller: Option<BoxName>,
-    /// Whether the server's last word could not be read.
+    /// Whether the last announcement was unreadable.
     unreadable: bool,
-    /// What this box may send.
+    /// The rate at which this box may send.
     share: Rate,
-    saved: Option<Bucket>,
-    /// Whether the other boxes are to hear of a change, and when they last did.
-    untold: bool,
-    told: Option<Time>,
+    bucket: Option<Bucket>,
+    /// Whether a change has yet to be reported to other boxes, and when one was last reported.
+    unreported: bool,
+    reported_at: Option<Time>,
 }
 
-/// Whether `new` lets more through than `old`.
+/// Reports whether `new` permits more than `old`.
 fn is_looser(new: Option<Rate>, old: Option<Rate>) -> bool {
     match (new, old) {
         (_, None) => false,
@@ -138,37 +144,38 @@
 }
 
 impl Limit {
-    /// What the server takes of all boxes, where it says so.
+    /// Returns the limit over all boxes, if the server announces one.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
-    /// The moment that this speaks of; none before the server named anything.
+    /// Returns the time to which the limit applies; `None` before any limit was announced.
     pub fn at(&self) -> Option<Time> {
         self.at
     }
 
-    /// The box that told it; none where this one was told by the server.
+    /// Returns the box that reported the limit; `None` if this box read it from an answer itself.
     pub fn teller(&self) -> Option<&BoxName> {
         self.teller.as_ref()
     }
 
-    /// Whether `rate` would let more through.
+    /// Reports whether `rate` would permit more than the current limit.
     pub fn is_loosened_by(&self, rate: Option<Rate>) -> bool {
         is_looser(rate, self.rate)
     }
 
-    /// What this box may send.
+    /// Returns the rate at which this box may send.
     pub fn share(&self) -> Rate {
         self.share
     }
 
-    /// Takes what an answer says to a request that was sent at `sent`; true where that is news.
-    pub fn hear(&mut self, word: Word, sent: Time, now: Time) -> bool {
-        let unreadable = word == Word::Unreadable;
-        let odd = unreadable && !self.unreadable;
+    /// Applies the announcement in an answer to a request sent at `sent`. Returns true if the limit
+    /// changed, or if this announcement is the first unreadable one in a row.
+    pub fn hear(&mut self, announced: Word, sent: Time, now: Time) -> bool {
+        let unreadable = announced == Word::Unreadable;
+        let newly_unreadable = unreadable && !self.unreadable;
         self.unreadable = unreadable;
-        let rate = word.rate();
+        let rate = announced.rate();
         let stamp = match rate {
             Some(_) if !self.is_loosened_by(rate) => now,
             _ => sent,
@@ -178,22 +185,22 @@
             .at
             .is_some_and(|at| stamp < at || stamp == at && loosened)
         {
-            return odd;
+            return newly_unreadable;
         }
-        let news = self.believe(rate, stamp);
+        let changed = self.set_rate(rate, stamp);
         self.teller = None;
-        self.untold |= news;
-        news || odd
+        self.unreported |= changed;
+        changed || newly_unreadable
     }
 
-    /// Takes what `teller` says of the moment `at`.
+    /// Applies a limit that the box `teller` reported for the time `at`.
     pub fn learn(&mut self, rate: Option<Rate>, at: Time, teller: &BoxName) -> Worth {
-        if rate.is_some_and(|rate| !is_rate(rate.0)) {
+        if rate.is_some_and(|rate| !is_valid_rate(rate.0)) {
             return Worth::Known;
         }
         let newer = match self.at {
             None => rate.is_some(),
-            Some(mine) => at > mine || at == mine && is_looser(self.rate, rate),
+            Some(own) => at > own || at == own && is_looser(self.rate, rate),
         };
         if !newer {
             return match self.rate == rate {
@@ -201,47 +208,50 @@
                 false => Worth::Old,
             };
         }
-        if !self.believe(rate, at) {
+        if !self.set_rate(rate, at) {
             return Worth::Known;
         }
         self.teller = Some(teller.clone());
         Worth::News
     }
 
-    /// Takes over what holds at `at`; true where it is another rate than before.
-    fn believe(&mut self, rate: Option<Rate>, at: Time) -> bool {
-        let news = self.rate != rate;
+    /// Sets the limit in effect at `at`; returns true if the rate changed.
+    fn set_rate(&mut self, rate: Option<Rate>, at: Time) -> bool {
+        let changed = self.rate != rate;
         match (self.rate, rate) {
             (None, _) => {
                 self.share = Rate(0.0);
-                self.saved = None;
+                self.bucket = None;
             }
-            // The next look finds the share of the new limit; until then a lower one holds as well.
+            // The share of the new limit is computed on the next pass; until then, the old share is
+            // scaled down with the limit.
             (Some(old), Some(new)) if new < old => self.share.0 *= new.0 / old.0,
             _ => {}
         }
         self.rate = rate;
         self.at = Some(at);
-        news
+        changed
     }
 
-    /// Takes over this box's share.
+    /// Sets this box's share.
     pub fn split(&mut self, share: Share, now: Time) {
-        self.saved.get_or_insert(Bucket::new(share.start, now));
+        self.bucket.get_or_insert(Bucket::new(share.start, now));
         self.share = share.rate;
     }
 
-    fn most(&self) -> f64 {
-        (self.share.0 * SAVED.0 as f64 / 1000.0).max(1.0)
+    fn capacity(&self) -> f64 {
+        (self.share.0 * ACCUMULATION_TIME.0 as f64 / 1000.0).max(1.0)
     }
 
-    fn saved(&self, now: Time) -> f64 {
-        let saved = self.saved.as_ref();
-        saved.map_or(0.0, |saved| saved.saved(self.share, self.most(), now))
+    fn tokens(&self, now: Time) -> f64 {
+        let bucket = self.bucket.as_ref();
+        bucket.map_or(0.0, |bucket| {
+            bucket.tokens(self.share, self.capacity(), now)
+        })
     }
 
-    /// How long a request waits here for its turn behind `ahead` others; none where this box sends
-    /// nothing there.
+    /// Returns how long a request has to wait here behind `ahead` others; `None` if this box sends
+    /// nothing to the server.
     pub fn wait(&self, ahead: f64, now: Time) -> Option<Millis> {
         if self.rate.is_none() {
             return Some(Millis(0));
@@ -249,41 +259,44 @@
         if self.share.0 <= 0.0 {
             return None;
         }
-        let saved = self.saved(now);
-        if saved >= 1.0 {
+        let tokens = self.tokens(now);
+        if tokens >= 1.0 {
             return Some(Millis(0));
         }
-        let seconds = (1.0 - saved + ahead) / self.share.0;
+        let seconds = (1.0 - tokens + ahead) / self.share.0;
         Some(Millis((seconds * 1000.0).ceil() as u64))
     }
 
-    /// Counts a request that goes there.
+    /// Counts a request sent to the server.
     pub fn spend(&mut self, now: Time) {
-        let (share, most) = (self.share, self.most());
+        let (share, capacity) = (self.share, self.capacity());
         if self.rate.is_some()
-            && let Some(saved) = &mut self.saved
+            && let Some(bucket) = &mut self.bucket
         {
-            saved.spend(share, most, now);
+            bucket.take(share, capacity, now);
         }
     }
 
-    /// Whether the others are to be told now of what changed.
+    /// Reports whether a change is due to be reported to other boxes, and marks it as reported.
     pub fn tell(&mut self, now: Time) -> bool {
-        let due = self.told.is_none_or(|at| now.since(at) >= TELL_AGAIN);
-        let tell = self.untold && due;
-        if tell {
-            self.untold = false;
-            self.told = Some(now);
+        let due = self
+            .reported_at
+            .is_none_or(|at| now.since(at) >= REPORT_INTERVAL);
+        let report = self.unreported && due;
+        if report {
+            self.unreported = false;
+            self.reported_at = Some(now);
         }
-        tell
+        report
     }
 
-    /// Slots that stand for the limit where answers take `whole`: what runs at once at that rate.
+    /// Returns the number of slots that the limit allows if an answer takes `whole`: the number of
+    /// requests that run at once at that rate, but no more than `slots`.
     pub fn slots(&self, slots: u32, whole: Millis) -> u32 {
         let Some(rate) = self.rate else {
             return slots;
         };
-        let running = rate.0 * whole.0 as f64 / 1000.0;
-        slots.min(running as u32)
+        let concurrent = rate.0 * whole.0 as f64 / 1000.0;
+        slots.min(concurrent as u32)
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `petreldrum` binary; everything it does is in the library.
+//! The `petreldrum` binary; all functionality is in the library.
 
 use std::process::ExitCode;
 
--- a/src/pin.rs
+++ b/src/pin.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys that name the one box which may run them.
+//! Idempotency keys that name the only box that may run them.
 //!
-//! A pin is minted by "ask" and starts every key of a request that may not be repeated. It names
-//! the listener and the incarnation of a box, and ends by that box's own clock, so that at most
-//! once depends on no membership view, no clock agreement, no lease and no store
+//! A pin is created by "ask" and starts every key of a request that may not be repeated. It names
+//! the listener and the incarnation of a box, and expires by that box's own clock, so that
+//! at-most-once execution depends on no membership view, clock synchronization, lease or store
 //! (docs/design/at-most-once.md).
 
 use std::{fmt, net::SocketAddr};
@@ -20,20 +20,20 @@
 
 /// How long a new pin may be used.
 pub const LIFE: Millis = Millis(600_000);
-/// Longest key accepted, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY: usize = 256;
 const TAG: usize = 12;
 const PURPOSE: &str = "pin";
 const MARK: char = '~';
 
-/// The box that alone may run a key, and until when.
+/// The only box that may run a key, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pin {
     /// The box's listener for other boxes.
     pub peer: SocketAddr,
-    /// The box's life.
+    /// The incarnation of the box.
     pub incarnation: Incarnation,
-    /// The end, by the named box's own clock.
+    /// The expiry, by the named box's own clock.
     pub expiry: Time,
 }
 
@@ -42,7 +42,7 @@
 pub enum Error {
     /// The key does not begin with a pin: no box ever ran it.
     Malformed,
-    /// The pin was signed with another secret: a box that had it may have run the key.
+    /// The pin was signed with another secret: a box with that secret may have run the key.
     Foreign,
 }
 
@@ -58,14 +58,14 @@
 impl std::error::Error for Error {}
 
 impl Pin {
-    /// Writes the pin as the text that a key begins with.
+    /// Returns the text of the pin, with which a key begins.
     pub fn prefix(&self, secret: &Secret) -> String {
         let body = postcard::to_stdvec(self).expect("a pin always encodes");
         let sealed = sign::seal(secret, PURPOSE, body, TAG);
         format!("{}{MARK}", BASE64.encode(sealed))
     }
 
-    /// Reads the pin that `key` begins with.
+    /// Reads the pin with which `key` begins, and checks its signature.
     pub fn read(secret: &Secret, key: &str) -> Result<Self, Error> {
         let (head, _) = key.split_once(MARK).ok_or(Error::Malformed)?;
         let bytes = BASE64.decode(head).map_err(|_| Error::Malformed)?;
@@ -102,13 +102,13 @@
     }
 }
 
-/// The key of one request that may not be repeated.
+/// The idempotency key of one request that may not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
     /// The box that may run it.
     pub pin: Pin,
-    /// The whole key, hashed.
+    /// The hash of the whole key.
     pub digest: Digest,
-    /// A hash of the request itself, to notice a key used for two requests.
+    /// A hash of the request itself, to detect a key that is used for two requests.
     pub content: u64,
 }
--- a/src/pushback.rs
+++ b/src/pushback.rs
@@ -1,39 +1,40 @@
-//! How long a backend server asks the box that it turned away to send it nothing.
+//! Pauses that backend servers request with a refusal: how long this box is to send them nothing.
 //!
-//! Load pattern: a server turns requests away with a time to come back. A refusal alone keeps a box away for a
-//! moment, since a slot of a full server is free again after that; then each request is a new refusal.
+//! Load pattern: a server refuses requests and states when to retry. A refusal alone keeps a box
+//! away only briefly, since a full server has a free slot again after that; each further request
+//! would then be refused as well.
 
 use crate::unit::Millis;
 
-/// Longest time that is heeded: a server that names more is asked again after it.
-const MOST: Millis = Millis(600_000);
+/// Longest pause that is respected: a server that requests more is tried again after it.
+const MAX_PUSHBACK: Millis = Millis(600_000);
 
-/// What an answer says of it.
+/// The pause that an answer requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
-    /// Nothing.
+    /// No pause is requested.
     Silent,
-    /// The server wants nothing from this box for so long.
+    /// The server requests that this box send it nothing for this time.
     Span(Millis),
-    /// Something that is no time in seconds: it counts as nothing.
+    /// The header is not a time in seconds and is ignored.
     Unreadable,
 }
 
 impl Word {
-    /// Reads the header of an answer, which may stand there several times: the longest time holds. Times are
-    /// seconds, fractions included; a date counts as unreadable, since clocks may differ.
+    /// Reads the header of an answer. The header may be repeated; the longest time applies. Times
+    /// are in seconds, fractions included; a date counts as unreadable, since clocks may differ.
     pub fn read<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut fields = fields.into_iter().peekable();
         if fields.peek().is_none() {
             return Self::Silent;
         }
-        let longest = fields.filter_map(span).max();
+        let longest = fields.filter_map(parse_seconds).max();
         longest.map_or(Self::Unreadable, Self::Span)
     }
 }
 
-fn span(field: &[u8]) -> Option<Millis> {
+fn parse_seconds(field: &[u8]) -> Option<Millis> {
     let seconds: f64 = str::from_utf8(field).ok()?.trim().parse().ok()?;
     let readable = seconds.is_finite() && seconds >= 0.0;
-    readable.then(|| Millis((seconds * 1000.0).ceil() as u64).min(MOST))
+    readable.then(|| Millis((seconds * 1000.0).ceil() as u64).min(MAX_PUSHBACK))
 }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,12 +1,14 @@
-//! Content that ends the backend servers which run it, and is held back for a while.
+//! Quarantine of request contents that crash the backend servers that run them.
 //!
-//! A server that ends cuts off all that it ran: 12 to 62 requests were seen to break within 5 ms, of which
-//! one was guilty. So no single end convicts. What speaks against a content is that different servers ended
-//! under it, each soon after it had begun there; what speaks for it is one whole answer. Each strike names
-//! the life of the server that ended, so that strikes from several boxes add up and two reports of one end
-//! count once, whatever their order.
+//! A server that crashes breaks everything it was running: 12 to 62 requests broke within 5 ms, one
+//! of which was the cause. A single crash is therefore never sufficient evidence. Evidence against
+//! a content is that different servers crashed while running it, each soon after it had started
+//! there; one complete answer clears it. Each strike names the incarnation of the server
+//! that crashed, so that strikes from several boxes add up and two reports of one crash count once,
+//! in any order.
 //!
-//! The table is bounded: the oldest marks of the customer that has most of them give way.
+//! The table is bounded: when it is full, the customer with the most records loses the one with the
+//! least evidence.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -21,90 +23,95 @@
     wire::Short,
 };
 
-/// Weight of evidence at which a content is held back: three ends soon after its beginning.
-const PROOF: u32 = 3 * FULL;
-/// Weight of an end while the answer had not begun, or just had.
-const FULL: u32 = 4;
-/// Weight of an end while the answer was long under way: the server had borne it so far.
-const SLIGHT: u32 = 1;
-/// An answer that began this long before its server ended is long under way. Deadly requests were seen
-/// to end their server 53 to 107 ms after they began to run.
-const YOUNG: Millis = Millis(500);
-/// One server's ends this far apart are two ends, where its name does not tell its lives apart: the
-/// longest time in which word of one end is late, and less than a server takes to start and serve.
-const SAME_END: Millis = Millis(5000);
-/// How long a content is held back, and how long strikes are remembered: an operator's time to look.
+/// Total weight at which a content is quarantined: three crashes soon after it started.
+const QUARANTINE_WEIGHT: u32 = 3 * EARLY_CRASH_WEIGHT;
+/// Weight of a crash before the answer began, or soon after.
+const EARLY_CRASH_WEIGHT: u32 = 4;
+/// Weight of a crash while the answer was long in progress: the server had run the content until
+/// then without failing.
+const LATE_CRASH_WEIGHT: u32 = 1;
+/// An answer that began longer ago than this when its server crashed counts as long in progress.
+/// Requests that crash their server did so 53 to 107 ms after they started to run.
+const EARLY_CRASH_TIME: Millis = Millis(500);
+/// Two crashes of one server this far apart count as two, if its name is the same for all of its
+/// incarnations. The time exceeds the longest delay of a report of one crash, and is shorter than a
+/// server takes to start and serve.
+const SAME_CRASH_TIME: Millis = Millis(5000);
+/// How long a content is quarantined, and how long strikes are kept: time for an operator to
+/// investigate.
 pub const HOLD: Millis = Millis(600_000);
-/// How long a whole answer speaks for its content. Servers that end together under a content that many
-/// callers ask for would convict it otherwise.
-const ALIBI: Millis = Millis(30_000);
-/// Whole answers that are remembered: about ten seconds of a busy box, 40 KB.
-const MAX_ALIBIS: usize = 1024;
-/// Marks of all customers, about 300 KB: one end of a server strikes up to 64 contents.
+/// How long a complete answer protects its content. Otherwise a content that many callers request
+/// would be quarantined when several servers running it fail together.
+const PROTECTION_TIME: Millis = Millis(30_000);
+/// Complete answers that are remembered: about ten seconds of a busy box, 40 KB.
+const MAX_PROTECTED: usize = 1024;
+/// Records of all customers, about 300 KB: one crash of a server strikes up to 64 contents.
 pub const MAX_MARKS: usize = 2048;
-/// Marks of one customer.
+/// Records of one customer.
 pub const MAX_EACH: usize = 512;
-/// Held contents that a box tells the others of, the latest first: 16 bytes each.
+/// Quarantined contents that a box reports to others, the latest first: 16 bytes each.
 pub const MAX_TOLD: usize = 32;
 
-/// A server ended while a content was in hand there.
+/// A report that a server crashed while it was running a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
     /// The content.
     pub content: Fingerprint,
-    /// The life of the server that ended.
+    /// The incarnation of the server that crashed.
     pub life: Short,
-    /// How much that says.
+    /// The weight of the crash as evidence.
     pub weight: u32,
 }
 
-/// What an end says of an attempt whose answer began `begun` ago, if it had.
+/// Returns the weight of a crash for an attempt whose answer began `begun` ago; `None` if it had
+/// not begun.
 pub fn weight(begun: Option<Millis>) -> u32 {
     match begun {
-        Some(span) if span > YOUNG => SLIGHT,
-        Some(_) | None => FULL,
+        Some(span) if span > EARLY_CRASH_TIME => LATE_CRASH_WEIGHT,
+        Some(_) | None => EARLY_CRASH_WEIGHT,
     }
 }
 
-/// A content that is held back, as boxes tell each other.
+/// A quarantined content, as boxes report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The content.
     pub content: Fingerprint,
-    /// How much longer.
+    /// The remaining time of the quarantine.
     pub left: Millis,
 }
 
-/// What changed of a content.
+/// A change in the state of a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A server ended under it.
+    /// A server crashed while it was running the content.
     Struck {
         /// The content.
         content: Fingerprint,
-        /// Ends so far.
+        /// Crashes recorded so far.
         ends: usize,
     },
-    /// It is held back from now on.
+    /// The content is quarantined from now on.
     Held {
         /// The content.
         content: Fingerprint,
-        /// Ends that this box knows of; zero where another one said so.
+        /// Crashes known to this box; may be zero if another box reported the quarantine.
         ends: usize,
-        /// For how long.
+        /// The duration of the quarantine.
         left: Millis,
     },
-    /// Nothing speaks against it any more.
+    /// The evidence against the content was removed.
     Cleared {
         /// The content.
         content: Fingerprint,
-        /// Whether it was held back.
+        /// Whether it was quarantined.
         held: bool,
     },
 }
 
 impl Step {
-    /// Whether it changes what may run. The others are many: each end strikes tens of contents.
+    /// Reports whether the step changes which requests may run. Other steps are frequent: each
+    /// crash strikes tens of contents.
     pub fn is_decision(&self) -> bool {
         match self {
             Self::Struck { .. } => false,
@@ -113,7 +120,7 @@
         }
     }
 
-    /// The step in a word, for metrics.
+    /// Returns the name of the step in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Struck { .. } => "struck",
@@ -139,87 +146,90 @@
     }
 }
 
-/// One end under a content.
+/// One crash of a server that was running a content.
 #[derive(Clone, Copy, Debug)]
-struct End {
+struct Crash {
     life: Short,
     weight: u32,
     at: Time,
 }
 
-/// What speaks against one content.
+/// The evidence against one content.
 #[derive(Clone, Debug, Default)]
-struct Mark {
-    ends: Vec<End>,
-    /// Until when it is held back.
-    held: Option<Time>,
-    /// When something was last heard against it.
-    heard: Time,
+struct Record {
+    crashes: Vec<Crash>,
+    /// The end of the quarantine, if the content is quarantined.
+    held_until: Option<Time>,
+    /// The time of the last evidence against it, or of the end of its quarantine.
+    last_evidence: Time,
 }
 
-impl Mark {
+impl Record {
     fn evidence(&self) -> u32 {
-        self.ends.iter().map(|end| end.weight).sum()
+        self.crashes.iter().map(|crash| crash.weight).sum()
     }
 
-    /// Forgets so much that one more end is the proof.
-    fn lapse(&mut self) {
-        self.held = None;
-        while self.evidence() + FULL > PROOF {
-            self.ends.pop();
+    /// Ends the quarantine and drops the latest crashes until the remaining weight is at least one
+    /// early crash below the threshold.
+    fn release(&mut self) {
+        self.held_until = None;
+        while self.evidence() + EARLY_CRASH_WEIGHT > QUARANTINE_WEIGHT {
+            self.crashes.pop();
         }
     }
 }
 
-/// What one box knows of contents that end servers.
+/// The contents that are suspected of crashing servers, as known to one box.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    marks: HashMap<Fingerprint, Mark>,
-    alibis: HashMap<Fingerprint, Time>,
-    /// The alibis in the order in which they were first given.
-    order: VecDeque<Fingerprint>,
+    records: HashMap<Fingerprint, Record>,
+    protected: HashMap<Fingerprint, Time>,
+    /// The contents of `answered`, in the order in which they were added.
+    protected_order: VecDeque<Fingerprint>,
 }
 
 impl Quarantine {
-    /// How much longer `content` is held back; none where it may run.
+    /// Returns the remaining time of the quarantine of `content`; `None` if it may run.
     pub fn held(&self, content: &Fingerprint, now: Time) -> Option<Millis> {
-        let until = self.marks.get(content)?.held?;
+        let until = self.records.get(content)?.held_until?;
         (now < until).then(|| until.since(now))
     }
 
-    /// Whether `more` evidence would be the proof against `content`.
+    /// Reports whether additional evidence of weight `more` would quarantine `content`.
     pub fn would_hold(&self, content: &Fingerprint, more: u32) -> bool {
-        let evidence = self.marks.get(content).map_or(0, Mark::evidence);
-        evidence + more >= PROOF
+        let evidence = self.records.get(content).map_or(0, Record::evidence);
+        evidence + more >= QUARANTINE_WEIGHT
     }
 
-    /// Whether a whole answer to `content` was seen lately.
+    /// Reports whether `content` was answered completely within the protection time.
     pub fn has_alibi(&self, content: &Fingerprint, now: Time) -> bool {
-        let seen = self.alibis.get(content);
-        seen.is_some_and(|at| now.since(*at) < ALIBI)
+        let seen = self.protected.get(content);
+        seen.is_some_and(|at| now.since(*at) < PROTECTION_TIME)
     }
 
-    /// Takes in that a server ended; none where that is known, or an alibi stands against it.
+    /// Records a crash. Returns `None` if the crash is already recorded or the content is protected
+    /// by a recent complete answer.
     pub fn strike(&mut self, strike: Strike, now: Time) -> Option<Step> {
         let content = strike.content;
         if self.has_alibi(&content, now) {
             return None;
         }
-        let mark = self.mark(content, now);
-        let same = |end: &&End| end.life == strike.life && now.since(end.at) < SAME_END;
-        if mark.ends.iter().any(|end| same(&end)) {
+        let record = self.record(content, now);
+        let same =
+            |crash: &&Crash| crash.life == strike.life && now.since(crash.at) < SAME_CRASH_TIME;
+        if record.crashes.iter().any(|crash| same(&crash)) {
             return None;
         }
-        mark.ends.push(End {
+        record.crashes.push(Crash {
             life: strike.life,
-            weight: strike.weight.clamp(SLIGHT, FULL),
+            weight: strike.weight.clamp(LATE_CRASH_WEIGHT, EARLY_CRASH_WEIGHT),
             at: now,
         });
-        let ends = mark.ends.len();
-        if mark.held.is_some() || mark.evidence() < PROOF {
+        let ends = record.crashes.len();
+        if record.held_until.is_some() || record.evidence() < QUARANTINE_WEIGHT {
             return Some(Step::Struck { content, ends });
         }
-        mark.held = Some(now + HOLD);
+        record.held_until = Some(now + HOLD);
         Some(Step::Held {
             content,
             ends,
@@ -227,19 +237,19 @@
         })
     }
 
-    /// Takes another box's word that a content is held back.
+    /// Applies another box's report that a content is quarantined.
     pub fn hold(&mut self, held: Held, now: Time) -> Option<Step> {
         let Held { content, left } = held;
         let left = left.min(HOLD);
         if left == Millis(0) || self.has_alibi(&content, now) {
             return None;
         }
-        let mark = self.mark(content, now);
-        if mark.held.is_some() {
+        let record = self.record(content, now);
+        if record.held_until.is_some() {
             return None;
         }
-        mark.held = Some(now + left);
-        let ends = mark.ends.len();
+        record.held_until = Some(now + left);
+        let ends = record.crashes.len();
         Some(Step::Held {
             content,
             ends,
@@ -247,40 +257,42 @@
         })
     }
 
-    /// Takes in a whole answer, or an operator's word; none where nothing spoke against the content.
+    /// Clears a content after a complete answer or on an operator's request. Returns `None` if
+    /// there was no evidence against it.
     pub fn clear(&mut self, content: Fingerprint, now: Time) -> Option<Step> {
-        if self.alibis.insert(content, now).is_none() {
-            self.order.push_back(content);
+        if self.protected.insert(content, now).is_none() {
+            self.protected_order.push_back(content);
         }
-        while self.order.len() > MAX_ALIBIS {
-            if let Some(oldest) = self.order.pop_front() {
-                self.alibis.remove(&oldest);
+        while self.protected_order.len() > MAX_PROTECTED {
+            if let Some(oldest) = self.protected_order.pop_front() {
+                self.protected.remove(&oldest);
             }
         }
-        let mark = self.marks.remove(&content)?;
-        let held = mark.held.is_some();
+        let record = self.records.remove(&content)?;
+        let held = record.held_until.is_some();
         Some(Step::Cleared { content, held })
     }
 
-    /// What is held back, as other boxes are told: the latest, and of each customer an equal part.
+    /// Returns the quarantined contents to report to other boxes: the latest first, evenly divided
+    /// between customers.
     pub fn told(&self, now: Time) -> Vec<Held> {
         let mut held = self.all_held(now);
         held.sort_by_key(|held| (std::cmp::Reverse(held.left), held.content));
-        let mut told: HashMap<Short, usize> = HashMap::new();
+        let mut counts: HashMap<Short, usize> = HashMap::new();
         let mut ranked: Vec<(usize, Held)> = Vec::with_capacity(held.len());
         for held in held {
-            let before = told.entry(held.content.customer).or_default();
-            ranked.push((*before, held));
-            *before += 1;
+            let rank = counts.entry(held.content.customer).or_default();
+            ranked.push((*rank, held));
+            *rank += 1;
         }
-        ranked.sort_by_key(|(before, _)| *before);
+        ranked.sort_by_key(|(rank, _)| *rank);
         ranked.truncate(MAX_TOLD);
         ranked.into_iter().map(|(_, held)| held).collect()
     }
 
-    /// Everything that is held back.
+    /// Returns all quarantined contents.
     pub fn all_held(&self, now: Time) -> Vec<Held> {
-        let held = self.marks.keys().filter_map(|content| {
+        let held = self.records.keys().filter_map(|content| {
             let left = self.held(content, now)?;
             Some(Held {
                 content: *content,
@@ -290,53 +302,60 @@
         held.collect()
     }
 
-    /// Lets holds lapse whose time is over, and forgets old marks.
+    /// Ends quarantines that have expired, and removes old records.
     pub fn sweep(&mut self, now: Time) {
-        self.marks.retain(|_, mark| {
-            if mark.held.is_some_and(|until| until <= now) {
-                mark.lapse();
-                mark.heard = now;
+        self.records.retain(|_, record| {
+            if record.held_until.is_some_and(|until| until <= now) {
+                record.release();
+                record.last_evidence = now;
             }
-            mark.held.is_some() || now.since(mark.heard) < HOLD
+            record.held_until.is_some() || now.since(record.last_evidence) < HOLD
         });
     }
 
-    /// The mark of `content`, with room made for it.
-    fn mark(&mut self, content: Fingerprint, now: Time) -> &mut Mark {
-        if !self.marks.contains_key(&content) {
+    /// Returns the record of `content`, after making room for it if it is new.
+    fn record(&mut self, content: Fingerprint, now: Time) -> &mut Record {
+        if !self.records.contains_key(&content) {
             self.make_room(content.customer);
         }
-        let mark = self.marks.entry(content).or_default();
-        mark.heard = now;
-        mark
+        let record = self.records.entry(content).or_default();
+        record.last_evidence = now;
+        record
     }
 
-    /// Makes room for one more mark of `customer`.
+    /// Makes room for one more record of `customer`.
     fn make_room(&mut self, customer: Short) {
-        let mine = |c: &&Fingerprint| c.customer == customer;
-        if self.marks.keys().filter(mine).count() >= MAX_EACH {
-            self.drop_oldest(customer);
-        } else if self.marks.len() >= MAX_MARKS {
+        let same_customer = |c: &&Fingerprint| c.customer == customer;
+        if self.records.keys().filter(same_customer).count() >= MAX_EACH {
+            self.remove_weakest(customer);
+        } else if self.records.len() >= MAX_MARKS {
             let mut counts: HashMap<Short, usize> = HashMap::new();
-            for content in self.marks.keys() {
+            for content in self.records.keys() {
                 *counts.entry(content.customer).or_default() += 1;
             }
             let most = counts
                 .into_iter()
                 .max_by_key(|(name, count)| (*count, *name));
             if let Some((most, _)) = most {
-                self.drop_oldest(most);
+                self.remove_weakest(most);
             }
         }
     }
 
-    /// Drops the mark of `customer` that says least: not held, the least evidence, and unheard for longest.
-    fn drop_oldest(&mut self, customer: Short) {
-        let marks = self.marks.iter().filter(|(c, _)| c.customer == customer);
-        let oldest =
-            marks.min_by_key(|(content, mark)| (mark.held, mark.evidence(), mark.heard, **content));
-        if let Some(oldest) = oldest.map(|(content, _)| *content) {
-            self.marks.remove(&oldest);
+    /// Removes the record of `customer` with the least evidence: those not quarantined first, then
+    /// by weight, then by the time of the last evidence.
+    fn remove_weakest(&mut self, customer: Short) {
+        let records = self.records.iter().filter(|(c, _)| c.customer == customer);
+        let weakest = records.min_by_key(|(content, record)| {
+            (
+                record.held_until,
+                record.evidence(),
+                record.last_evidence,
+                **content,
+            )
+        });
+        if let Some(weakest) = weakest.map(|(content, _)| *content) {
+            self.records.remove(&weakest);
         }
     }
 }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,26 +1,27 @@
-//! Requests that wait for a slot: a line a route, and in each line fair turns between customers.
+//! Queues of requests that wait for a slot: one queue per route, with round-robin turns between the
+//! customers in each.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::id::{Customer, Request, Service};
 
-/// Most requests that wait at one box.
+/// Maximum number of requests that wait at one box.
 pub const MAX_WAITING: usize = 1024;
 
-/// Where a request stands: its line, and its customer's place in it.
+/// The position of a request: its queue, and its customer within it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spot {
-    /// The line's name: requests that may go to the same places.
+    /// The name of the queue, whose requests may all go to the same places.
     pub line: Service,
-    /// What they wait for.
+    /// The service that the requests wait for.
     pub service: Service,
-    /// The line's rank among those of its service; 0 goes first.
+    /// The queue's priority among those of its service; 0 goes first.
     pub priority: u8,
     /// The customer.
     pub customer: Customer,
 }
 
-/// A line among the others: its priority, then its name.
+/// The order of queues: by priority, then by name.
 pub type Rank = (u8, Service);
 
 impl Spot {
@@ -29,147 +30,169 @@
     }
 }
 
-/// One line: a queue a customer, and whose turn is next.
+/// The queue of one route: one queue per customer, and the order of their turns.
 #[derive(Debug)]
-struct Line {
+struct RouteQueue {
     service: Service,
-    turns: VecDeque<Customer>,
-    waiting: HashMap<Customer, VecDeque<Request>>,
+    rotation: VecDeque<Customer>,
+    requests: HashMap<Customer, VecDeque<Request>>,
 }
 
-impl Line {
+impl RouteQueue {
     fn new(spot: &Spot) -> Self {
         Self {
             service: spot.service.clone(),
-            turns: VecDeque::new(),
-            waiting: HashMap::new(),
+            rotation: VecDeque::new(),
+            requests: HashMap::new(),
         }
     }
 
     fn len(&self) -> usize {
-        self.waiting.values().map(VecDeque::len).sum()
+        self.requests.values().map(VecDeque::len).sum()
     }
 }
 
-/// The lines of one box.
+/// All queues of one box.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lines: BTreeMap<Rank, Line>,
+    queues: BTreeMap<Rank, RouteQueue>,
     count: usize,
 }
 
 impl Queue {
-    fn line(&mut self, spot: &Spot) -> &mut Line {
+    fn route_queue(&mut self, spot: &Spot) -> &mut RouteQueue {
         let rank = spot.rank();
-        self.lines.entry(rank).or_insert_with(|| Line::new(spot))
+        self.queues
+            .entry(rank)
+            .or_insert_with(|| RouteQueue::new(spot))
     }
 
-    /// Adds a request at the end of its customer's queue; false where the box holds too many.
+    /// Appends a request to its customer's queue; returns false if the box holds too many requests.
     pub fn push(&mut self, spot: &Spot, request: Request) -> bool {
         if self.count >= MAX_WAITING {
             return false;
         }
-        let line = self.line(spot);
-        let queue = line.waiting.entry(spot.customer.clone()).or_default();
-        if queue.is_empty() {
-            line.turns.push_back(spot.customer.clone());
+        let route_queue = self.route_queue(spot);
+        let requests = route_queue
+            .requests
+            .entry(spot.customer.clone())
+            .or_default();
+        if requests.is_empty() {
+            route_queue.rotation.push_back(spot.customer.clone());
         }
-        queue.push_back(request);
+        requests.push_back(request);
         self.count += 1;
         true
     }
 
-    /// Puts a request back that was popped and still has no place; its customer keeps the turn.
+    /// Puts back a request that was popped but could not be placed; its customer keeps the turn.
     pub fn put_back(&mut self, spot: &Spot, request: Request) {
-        let line = self.line(spot);
-        line.turns.retain(|c| *c != spot.customer);
-        line.turns.push_front(spot.customer.clone());
-        let queue = line.waiting.entry(spot.customer.clone()).or_default();
-        queue.push_front(request);
+        let route_queue = self.route_queue(spot);
+        route_queue.rotation.retain(|c| *c != spot.customer);
+        route_queue.rotation.push_front(spot.customer.clone());
+        let requests = route_queue
+            .requests
+            .entry(spot.customer.clone())
+            .or_default();
+        requests.push_front(request);
         self.count += 1;
     }
 
-    /// Takes the next request of a line; its customer goes to the end of the turns.
+    /// Removes and returns the next request of a queue; its customer moves to the end of the turns.
     pub fn pop(&mut self, rank: &Rank) -> Option<Request> {
-        let line = self.lines.get_mut(rank)?;
-        let customer = line.turns.pop_front()?;
-        let queue = line.waiting.get_mut(&customer)?;
-        let request = queue.pop_front();
-        if queue.is_empty() {
-            line.waiting.remove(&customer);
+        let route_queue = self.queues.get_mut(rank)?;
+        let customer = route_queue.rotation.pop_front()?;
+        let requests = route_queue.requests.get_mut(&customer)?;
+        let request = requests.pop_front();
+        if requests.is_empty() {
+            route_queue.requests.remove(&customer);
         } else {
-            line.turns.push_back(customer);
+            route_queue.rotation.push_back(customer);
         }
-        if line.turns.is_empty() {
-            self.lines.remove(rank);
+        if route_queue.rotation.is_empty() {
+            self.queues.remove(rank);
         }
         self.count -= usize::from(request.is_some());
         request
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request at any position.
     pub fn remove(&mut self, spot: &Spot, request: Request) {
         let rank = spot.rank();
-        let Some(line) = self.lines.get_mut(&rank) else {
+        let Some(route_queue) = self.queues.get_mut(&rank) else {
             return;
         };
-        let Some(queue) = line.waiting.get_mut(&spot.customer) else {
+        let Some(requests) = route_queue.requests.get_mut(&spot.customer) else {
             return;
         };
-        let before = queue.len();
-        queue.retain(|r| *r != request);
-        self.count -= before - queue.len();
-        if queue.is_empty() {
-            line.waiting.remove(&spot.customer);
-            line.turns.retain(|c| *c != spot.customer);
+        let count_before = requests.len();
+        requests.retain(|r| *r != request);
+        self.count -= count_before - requests.len();
+        if requests.is_empty() {
+            route_queue.requests.remove(&spot.customer);
+            route_queue.rotation.retain(|c| *c != spot.customer);
         }
-        if line.turns.is_empty() {
-            self.lines.remove(&rank);
+        if route_queue.rotation.is_empty() {
+            self.queues.remove(&rank);
         }
     }
 
-    /// The requests that go before a new one of `spot`, by fair turns: of another customer's queue,
-    /// however long, only as many as its own customer will have itself.
+    /// Returns how many requests are served before a new one at `spot`, by round-robin turns: of
+    /// another customer's queue, however long, no more than its own customer will have queued
+    /// itself.
     pub fn ahead(&self, spot: &Spot) -> usize {
-        let Some(line) = self.lines.get(&spot.rank()) else {
+        let Some(route_queue) = self.queues.get(&spot.rank()) else {
             return 0;
         };
-        let own = line.waiting.get(&spot.customer).map_or(0, VecDeque::len);
-        let others = line
-            .waiting
+        let own = route_queue
+            .requests
+            .get(&spot.customer)
+            .map_or(0, VecDeque::len);
+        let others = route_queue
+            .requests
             .iter()
             .filter(|(name, _)| **name != spot.customer);
         own + others
-            .map(|(_, queue)| queue.len().min(own + 1))
+            .map(|(_, requests)| requests.len().min(own + 1))
             .sum::<usize>()
     }
 
-    /// The requests that wait for `service`.
+    /// Returns the number of requests that wait for `service`.
     pub fn waiting(&self, service: &Service) -> usize {
-        let lines = self.lines.values().filter(|l| l.service == *service);
-        lines.map(Line::len).sum()
+        let queues = self
+            .queues
+            .values()
+            .filter(|queue| queue.service == *service);
+        queues.map(RouteQueue::len).sum()
     }
 
-    /// The lines for `service`, the most urgent first.
+    /// Returns the queues for `service`, the most urgent first.
     pub fn lines(&self, service: &Service) -> Vec<Rank> {
-        let lines = self.lines.iter().filter(|(_, l)| l.service == *service);
-        lines.map(|(rank, _)| rank.clone()).collect()
+        let queues = self
+            .queues
+            .iter()
+            .filter(|(_, queue)| queue.service == *service);
+        queues.map(|(rank, _)| rank.clone()).collect()
     }
 
-    /// The services that somebody waits for.
+    /// Returns the services that requests wait for.
     pub fn services(&self) -> Vec<Service> {
-        let mut services: Vec<Service> = self.lines.values().map(|l| l.service.clone()).collect();
+        let mut services: Vec<Service> = self
+            .queues
+            .values()
+            .map(|queue| queue.service.clone())
+            .collect();
         services.sort_unstable();
         services.dedup();
         services
     }
 
-    /// All requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether nobody waits.
+    /// Reports whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,14 +1,14 @@
-//! The retry budget: attempts beyond the first as a share of fresh work, for each service.
+//! The retry budget: attempts beyond the first as a share of fresh requests, for each service.
 //!
-//! The budget holds for all boxes together, in any span of ten seconds. Boxes keep to it without a word about
-//! what they spend: what a box spends in a span is at most its share of the slack and a weighted sum of what its
-//! own requests earned in that span and in two spans before it. The weights are the same at all boxes and add up to
-//! one, so the sum over the boxes is at most what the fleet's requests earned in the best of the three, wherever
-//! load moves.
+//! The budget applies to all boxes together, in any window of ten seconds. Boxes respect it without
+//! exchanging what they spend: within a window, a box spends at most its share of the slack and a
+//! weighted sum of what its own requests earned in that window and in two earlier ones. The weights
+//! are the same at all boxes and add up to one, so the sum over the boxes is at most what the
+//! fleet's requests earned in the best of the three windows, wherever load moves.
 //!
-//! Load pattern: regions peak in turn. If each box counted the span up to its own last attempt, boxes whose peak
-//! ends would spend what they earned before it, boxes whose peak begins what they earn in it, and the fleet
-//! nearly twice what any one span earns.
+//! Load pattern: regions peak in turn. If each box counted the window up to its own last attempt,
+//! boxes whose peak ends would spend what they earned before it, boxes whose peak begins what they
+//! earn in it, and the fleet nearly twice what any one window earns.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,38 +20,43 @@
     unit::{Millis, Time},
 };
 
-/// Attempts that one request may have in all, rejected ones included.
+/// Maximum attempts of one request, rejected ones included.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// Part of the fleet's slack that the boxes plan with: they count each other with a lag.
-const SAFETY: f64 = 0.7;
-/// Part of it that a box may spend within a span of its start: all boxes may end twice within a span.
-const YOUNG: f64 = (1.0 - SAFETY) / 2.0;
-/// Attempts that a box takes of the slack in each span while it cannot know how many others there are.
-const ALONE: f64 = 1.0;
-/// The span over which the platform sums attempts and requests up.
+/// Part of the fleet's slack that the boxes allocate. The rest covers the delay with which they
+/// learn how many boxes share it.
+const SLACK_SHARE: f64 = 0.7;
+/// Part of the slack that a box may spend within one window after a restart: all boxes may restart
+/// twice within one window.
+const RESTARTED_SLACK_SHARE: f64 = (1.0 - SLACK_SHARE) / 2.0;
+/// Attempts that a box takes from the slack in each window while it cannot know how many boxes
+/// share it.
+const UNKNOWN_FLEET_SLACK: f64 = 1.0;
+/// The window over which the platform sums attempts and requests.
 const WINDOW: Millis = Millis(10_000);
-/// What is counted together.
-const SLOT: Millis = Millis(200);
-/// How much later than its grant an attempt may come to a backend server: another region may pass it on.
-const LAG: Millis = Millis(400);
-/// Parts of a span's attempts that are paid by its own requests, by those of the span that begins half a span before
-/// it, and of the one that ends where it begins. Earlier parts allow larger bursts, later ones follow rising load.
-const PAID: [f64; 3] = [0.25, 0.25, 0.5];
-
-/// What the fleet may spend.
+/// Resolution of the counts.
+const SLOT_TIME: Millis = Millis(200);
+/// Maximum delay between granting an attempt and its arrival at a backend server, for attempts
+/// relayed through another region.
+const MAX_ARRIVAL_DELAY: Millis = Millis(400);
+/// Weights of the requests that pay for the attempts of a window: those of the window itself, of
+/// the window that begins half a window earlier, and of the window that ends where it begins.
+/// Weight on earlier windows allows larger bursts, weight on later ones follows rising load.
+const EARNING_WEIGHTS: [f64; 3] = [0.25, 0.25, 0.5];
+
+/// Limits on the attempts beyond the first over all boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts beyond the first that each fresh request earns.
     pub ratio: f64,
-    /// Attempts beyond the first that may be spent besides in each span, over all boxes; without it
-    /// nothing binds them together, and each box has a budget of its own with [`Limits::SAVED`].
+    /// Additional attempts beyond the first in each window, over all boxes. Without it, there is no
+    /// common limit, and each box has a budget of its own with [`Limits::SAVED`].
     pub slack: Option<f64>,
 }
 
 impl Limits {
-    /// Attempts that a box may spend besides where no slack is set for the fleet.
+    /// Additional attempts per box if no slack is set for the fleet.
     pub const SAVED: f64 = 20.0;
-    /// Attempts that a fresh request earns where nothing else is set.
+    /// The default number of attempts that a fresh request earns.
     pub const RATIO: f64 = 0.2;
 }
 
@@ -64,21 +69,22 @@
     }
 }
 
-/// What becomes of an attempt beyond the first that is asked for.
+/// The result of asking the budget for an attempt beyond the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The budget had one.
+    /// The budget had an attempt left.
     Granted,
-    /// The budget had none.
+    /// The budget was used up.
     Refused,
-    /// The attempt before it surely came to no backend server, so it takes nothing.
+    /// The previous attempt certainly reached no backend server, so this one is not charged.
     Free,
-    /// It is owed to a stream that was taken off its backend server: it goes out whatever the budget has.
+    /// The attempt continues a stream that was moved off its backend server: it is made even if the
+    /// budget is used up.
     Owed,
 }
 
 impl Outcome {
-    /// All of them.
+    /// All outcomes.
     pub const ALL: [Self; 4] = [Self::Granted, Self::Refused, Self::Free, Self::Owed];
 }
 
@@ -93,19 +99,19 @@
     }
 }
 
-/// What a box's budget for one service holds, in the span that binds.
+/// The budget of a box for one service, in the most restrictive window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Balance {
-    /// Attempts that were taken within the span.
+    /// Attempts made within the window.
     pub spent: u32,
-    /// What requests earned for it.
+    /// Attempts earned by requests.
     pub earned: f64,
     /// The box's share of the slack.
     pub share: f64,
 }
 
 impl Balance {
-    /// Attempts that are left.
+    /// Returns the number of attempts left.
     pub fn left(&self) -> f64 {
         self.earned + self.share - f64::from(self.spent)
     }
@@ -122,12 +128,12 @@
     }
 }
 
-/// How often each [`Outcome`] came about since the start.
+/// How often each [`Outcome`] occurred since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts([u64; Outcome::ALL.len()]);
 
 impl Counts {
-    /// How often `outcome` did.
+    /// Returns how often `outcome` occurred.
     pub fn of(&self, outcome: Outcome) -> u64 {
         self.0[outcome as usize]
     }
@@ -144,44 +150,44 @@
     }
 }
 
-/// The number of slots in `span`.
+/// Returns the number of slots in `span`.
 fn slots(span: Millis) -> i64 {
-    (span.0 / SLOT.0) as i64
+    (span.0 / SLOT_TIME.0) as i64
 }
 
-/// Requests and attempts beyond the first since a service was first asked for.
+/// Cumulative numbers of requests and of attempts beyond the first.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     fresh: u32,
     spent: u32,
 }
 
-/// What came and was spent in the last two spans of one service.
+/// The recent requests and attempts of one service.
 #[derive(Clone, Debug)]
 struct Window {
-    /// The totals at the end of each slot of the last two spans.
+    /// The totals at the end of each slot of the last two windows.
     totals: VecDeque<Total>,
     /// The number of the last slot.
-    last: i64,
+    last_slot: i64,
 }
 
 impl Default for Window {
     fn default() -> Self {
         Self {
             totals: vec![Total::default(); 2 * slots(WINDOW) as usize + 2].into(),
-            last: 0,
+            last_slot: 0,
         }
     }
 }
 
 impl Window {
-    /// The totals as of `now`.
+    /// Returns the totals as of `now`.
     fn current(&mut self, now: Time) -> &mut Total {
-        let number = slots(Millis(now.0));
-        let missing = (number - self.last).clamp(0, self.totals.len() as i64);
-        self.last = self.last.max(number);
+        let current = slots(Millis(now.0));
+        let elapsed = (current - self.last_slot).clamp(0, self.totals.len() as i64);
+        self.last_slot = self.last_slot.max(current);
         let total = *self.latest();
-        for _ in 0..missing {
+        for _ in 0..elapsed {
             self.totals.pop_front();
             self.totals.push_back(total);
         }
@@ -192,52 +198,58 @@
         self.totals.back_mut().expect("there are always slots")
     }
 
-    /// The totals before `slot`; slots that are forgotten count as the oldest, and those to come as the last.
-    fn before(&self, slot: i64) -> Total {
+    /// Returns the totals before `slot`. Slots before the first kept one count as the oldest, and
+    /// future slots as the newest.
+    fn totals_before(&self, slot: i64) -> Total {
         let newest = self.totals.len() as i64 - 1;
-        let index = newest - (self.last - (slot - 1));
+        let index = newest - (self.last_slot - (slot - 1));
         self.totals[index.clamp(0, newest) as usize]
     }
 
-    /// Requests of the slots from `from` up to `to`, without that one.
-    fn fresh(&self, from: i64, to: i64) -> u32 {
-        self.before(to).fresh - self.before(from).fresh
+    /// Returns the requests of the slots from `from` up to, but not including, `to`.
+    fn fresh_between(&self, from: i64, to: i64) -> u32 {
+        self.totals_before(to).fresh - self.totals_before(from).fresh
     }
 
-    /// Attempts of the slots from `from` on.
-    fn spent(&self, from: i64) -> u32 {
-        self.before(self.last + 1).spent - self.before(from).spent
+    /// Returns the attempts of the slots from `from` on.
+    fn spent_since(&self, from: i64) -> u32 {
+        self.totals_before(self.last_slot + 1).spent - self.totals_before(from).spent
     }
 
-    /// What the last span holds by its own requests.
-    fn recent(&self, ratio: f64, share: f64) -> Balance {
-        let start = self.last - slots(WINDOW);
+    /// Returns the balance of the window that ends now, by its own requests alone.
+    fn last_window(&self, ratio: f64, share: f64) -> Balance {
+        let start = self.last_slot - slots(WINDOW);
         Balance {
-            spent: self.spent(start),
-            earned: ratio * f64::from(self.fresh(start + 1, self.last + 1)),
+            spent: self.spent_since(start),
+            earned: ratio * f64::from(self.fresh_between(start + 1, self.last_slot + 1)),
             share,
         }
     }
 
-    /// What the span holds that begins somewhere in the slot `start`: only requests of whole slots count.
-    fn span(&self, start: i64, ratio: f64, share: f64) -> Balance {
-        let (span, half) = (slots(WINDOW), slots(WINDOW) / 2);
-        let fresh = [0, half, span].map(|b| self.fresh(start - b + 1, start - b + span));
-        let parts = PAID.iter().zip(fresh);
-        let earned: f64 = parts.map(|(part, fresh)| part * f64::from(fresh)).sum();
+    /// Returns the balance of the window that begins within the slot `start`. Only requests of
+    /// complete slots count.
+    fn window_from(&self, start: i64, ratio: f64, share: f64) -> Balance {
+        let (window, half) = (slots(WINDOW), slots(WINDOW) / 2);
+        let fresh = [0, half, window]
+            .map(|offset| self.fresh_between(start - offset + 1, start - offset + window));
+        let weighted = EARNING_WEIGHTS.iter().zip(fresh);
+        let earned: f64 = weighted
+            .map(|(weight, fresh)| weight * f64::from(fresh))
+            .sum();
         Balance {
-            spent: self.spent(start - slots(LAG)),
+            spent: self.spent_since(start - slots(MAX_ARRIVAL_DELAY)),
             earned: ratio * earned,
             share,
         }
     }
 
-    /// The span that binds, of all into which an attempt falls that goes out now. Requests that are over want no
-    /// further attempts, so the last span's own bind as well.
-    fn tightest(&self, ratio: f64, share: f64) -> Balance {
-        let starts = self.last - slots(WINDOW)..=self.last + slots(LAG);
-        let spans = starts.map(|start| self.span(start, ratio, share));
-        spans.fold(self.recent(ratio, share), |least, next| {
+    /// Returns the balance of the most restrictive of all windows that an attempt made now may fall
+    /// into. The window that ends now counts by its own requests as well, since earlier requests
+    /// that have ended need no further attempts.
+    fn tightest_window(&self, ratio: f64, share: f64) -> Balance {
+        let starts = self.last_slot - slots(WINDOW)..=self.last_slot + slots(MAX_ARRIVAL_DELAY);
+        let windows = starts.map(|start| self.window_from(start, ratio, share));
+        windows.fold(self.last_window(ratio, share), |least, next| {
             if next.left() < least.left() {
                 next
             } else {
@@ -247,20 +259,21 @@
     }
 }
 
-/// The budgets of one box, one a service.
+/// The budgets of one box, by service.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     limits: Limits,
     /// Whether no process ran on this box before.
     first_start: bool,
-    /// The boxes that share the slack; none where this one cannot know.
+    /// The number of boxes that share the slack; `None` if this box cannot know.
     boxes: Option<usize>,
     windows: HashMap<Service, Window>,
     counts: HashMap<Service, Counts>,
 }
 
 impl Budgets {
-    /// Budgets of a box that knows of no other one yet; `first_start` says that no process ran on it before.
+    /// Creates the budgets of a box that knows of no other box yet; `first_start` states that no
+    /// process ran on this box before.
     pub fn new(limits: Limits, first_start: bool) -> Self {
         Self {
             limits,
@@ -271,36 +284,41 @@
         }
     }
 
-    /// Whether no process ran on this box before.
+    /// Reports whether no process ran on this box before.
     pub fn is_first_start(&self) -> bool {
         self.first_start
     }
 
-    /// Takes over new limits.
+    /// Sets new limits.
     pub fn limit(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Takes over how many boxes share the slack; none where the box cannot know.
+    /// Sets how many boxes share the slack; `None` if the box cannot know.
     pub fn share(&mut self, boxes: Option<usize>) {
         self.boxes = boxes;
     }
 
-    /// The box's share of the slack at `now`. The process before this one may have spent the full share, so a new one
-    /// takes only its part of what is kept back until its first span is over.
-    fn share_at(&self, now: Time) -> f64 {
+    /// Returns the box's share of the slack at `now`. The process before this one may have spent
+    /// the full share, so a restarted one takes only its part of the reserve until its first window
+    /// is over.
+    fn slack_share(&self, now: Time) -> f64 {
         let Some(slack) = self.limits.slack else {
             return Limits::SAVED;
         };
         let Some(boxes) = self.boxes else {
-            return ALONE;
+            return UNKNOWN_FLEET_SLACK;
+        };
+        let restarted = !self.first_start && now < Time(0) + WINDOW;
+        let part = if restarted {
+            RESTARTED_SLACK_SHARE
+        } else {
+            SLACK_SHARE
         };
-        let young = !self.first_start && now < Time(0) + WINDOW;
-        let part = if young { YOUNG } else { SAFETY };
         part * slack / boxes.max(1) as f64
     }
 
-    /// Notes a fresh request for `service`.
+    /// Records a fresh request for `service`.
     pub fn earn(&mut self, service: &Service, now: Time) {
         if let Some(window) = self.windows.get_mut(service) {
             window.current(now).fresh += 1;
@@ -310,34 +328,34 @@
         window.current(now).fresh += 1;
     }
 
-    /// What the budget of `service` holds.
+    /// Returns the balance of the budget of `service`.
     pub fn balance(&mut self, service: &Service, now: Time) -> Balance {
-        let (ratio, share) = (self.limits.ratio, self.share_at(now));
+        let (ratio, share) = (self.limits.ratio, self.slack_share(now));
         let window = self.windows.entry(service.clone()).or_default();
         window.current(now);
         match self.limits.slack {
-            Some(_) => window.tightest(ratio, share),
-            None => window.recent(ratio, share),
+            Some(_) => window.tightest_window(ratio, share),
+            None => window.last_window(ratio, share),
         }
     }
 
-    /// How often attempts beyond the first were asked for, a row a service.
+    /// Iterates over how often attempts beyond the first were asked for, by service.
     pub fn counts(&self) -> impl Iterator<Item = (&Service, &Counts)> {
         self.counts.iter()
     }
 
-    /// Counts what became of an attempt for `service` that was asked for.
+    /// Counts the outcome of asking for an attempt for `service`.
     pub fn count(&mut self, service: &Service, outcome: Outcome) {
         self.counts.entry(service.clone()).or_default().add(outcome);
     }
 
-    /// Takes one attempt whether or not the budget has one: later ones have to wait.
+    /// Takes one attempt even if the budget has none left: later ones have to wait.
     pub fn overdraw(&mut self, service: &Service, now: Time) {
         let window = self.windows.entry(service.clone()).or_default();
         window.current(now).spent += 1;
     }
 
-    /// Takes one attempt where the budget of `service` has one.
+    /// Takes one attempt if the budget of `service` has one left.
     pub fn spend(&mut self, service: &Service, now: Time) -> bool {
         let balance = self.balance(service, now);
         if balance.left() < 1.0 {
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -1,14 +1,14 @@
-//! Roll-outs: moving a service's traffic to another release of its backend servers, watched by what they
-//! answer.
+//! Roll-outs: moving a service's traffic to another release of its backend servers while comparing
+//! the answers of both.
 //!
-//! Load pattern: the new release gets a small part of the requests at each box, so that the part is the same
-//! over three boxes or three hundred without a word between them ([`Permits`]). What
-//! its servers answer is compared with what those of the other releases answer to the same routes in the same
-//! seconds, as a control group: a burst, a region in trouble or failing callers show in both.
+//! Load pattern: the new release gets a small part of the requests at each box, so that the part is
+//! the same over three boxes or three hundred without coordination ([`Permits`]). The answers of
+//! its servers are compared with those of the other releases to the same routes in the same
+//! seconds, as a control group: a burst, a region with problems or failing callers affect both.
 //!
-//! The comparison is a sequential test, so it may be looked at after each answer: the weight of the evidence
-//! is a likelihood ratio averaged over several degrees of badness, and a good release passes a bound of N by
-//! chance in one roll-out of N at most.
+//! The comparison is a sequential test, so it may be evaluated after each answer: the weight of the
+//! evidence is a likelihood ratio averaged over several effect sizes, and a good release exceeds a
+//! bound of N by chance in at most one of N roll-outs.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,69 +19,75 @@
     wire::Trial,
 };
 
-/// The part of the exposed share that is used: the rest is for requests of the old release that never arrive.
-const USED: f64 = 0.8;
-/// Requests to the new release that a box may save up while its servers are cold or full.
-const SAVED: f64 = 8.0;
-/// Logarithm of the weight of evidence that ends a roll-out at once: one good release in 10,000 by chance,
-/// for each route and span that is looked at.
-const CONVICTED: f64 = 9.2;
-/// The same where the roll-out would be finished: one look, and one in 500.
-const SUSPECTED: f64 = 6.2;
-/// Less weighs nothing. More waits for further answers before traffic moves: a release whose bad answers were
-/// few by chance, at 5.4 of this, got all traffic for a second before it was stopped.
-const CLEARED: f64 = 3.0;
-/// How much worse than the other releases a bad one is taken to be: parts of the answers that are good there.
-const DEGREES: [f64; 5] = [0.05, 0.1, 0.2, 0.4, 0.8];
-/// Answers of the other releases without which nothing can be compared.
-const CONTROL: u32 = 20;
-/// Answers of the new release without which it is not called good.
-const SHOWN: u32 = 30;
-/// The share of bad answers that is taken for granted at any release.
-const LEAST_BAD: f64 = 0.01;
-/// Of so many servers of the new release that answered, one at least must have answered badly: a single
-/// server that fails says nothing of its release.
-const SPREAD: u32 = 4;
-/// How many times longer than is typical an answer takes that counts as slow, and what it takes longer at
-/// least: servers of one release differ by a third, and a burst doubles the times of all.
-const SLOW: f64 = 2.5;
-const SLOW_LEAST: f64 = 20.0;
-/// Times without which nothing is called typical.
-const TYPICAL_AFTER: u32 = 5;
-/// Weight of a new time in what is typical.
-const TYPICAL_ALPHA: f64 = 0.05;
-/// Times are compared by their logarithms; this is added so that short ones don't weigh too much.
-const SHORT: f64 = 5.0;
-
-/// What an operator asks for.
+/// Part of the permitted exposure that is used. The rest allows for requests to the old release
+/// that are counted but never arrive.
+const USED_EXPOSURE_SHARE: f64 = 0.8;
+/// Requests to the new release that a box may accumulate while the servers of that release are cold
+/// or full.
+const MAX_SAVED_REQUESTS: f64 = 8.0;
+/// Log evidence that ends a roll-out at once. By chance, one in 10,000 good releases reaches it,
+/// for each route and time window that is evaluated.
+const ROLLBACK_EVIDENCE: f64 = 9.2;
+/// Log evidence that prevents completion at the deadline. There is one evaluation, so one in 500
+/// good releases reaches it by chance.
+const COMPLETION_EVIDENCE: f64 = 6.2;
+/// Log evidence below which a release counts as good. Above it, the roll-out waits for further
+/// answers before moving traffic: with a release whose bad answers were few by chance, and an
+/// evidence of 5.4, all traffic moved for a second before the release was rolled back.
+const DOUBT_EVIDENCE: f64 = 3.0;
+/// Effect sizes of the test: the part of the good answers of the other releases that is bad for the
+/// new one.
+const EFFECT_SIZES: [f64; 5] = [0.05, 0.1, 0.2, 0.4, 0.8];
+/// Answers of the other releases that are required for a comparison.
+const MIN_CONTROL_ANSWERS: u32 = 20;
+/// Answers of the new release that are required to call it good.
+const MIN_NEW_ANSWERS: u32 = 30;
+/// Share of bad answers that is assumed for any release at least.
+const MIN_BAD_SHARE: f64 = 0.01;
+/// At least one in this many servers of the new release that answered must have answered badly: a
+/// single failing server is no evidence about its release.
+const SERVERS_PER_FAILING_SERVER: u32 = 4;
+/// An answer is slow if it takes more than this factor times the typical time plus this margin in
+/// milliseconds. Servers of one release differ by a third, and a burst doubles the times of all.
+const SLOW_FACTOR: f64 = 2.5;
+const SLOW_MARGIN_MS: f64 = 20.0;
+/// Samples that are required before a time counts as typical.
+const MIN_SAMPLES: u32 = 5;
+/// Weight of a new sample in the moving average.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Offset in milliseconds added before taking the logarithm, so that short times do not weigh too
+/// much.
+const LOG_OFFSET_MS: f64 = 5.0;
+
+/// An operator's order to roll out a release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The release that is to serve.
+    /// The release to roll out.
     pub release: Release,
-    /// The time after which it should.
+    /// The time within which the release is to take over.
     pub within: Millis,
-    /// The store's number of the order: a later order has a greater one.
+    /// The store's revision of the order: a later order has a greater one.
     pub revision: Revision,
 }
 
-/// How far a roll-out has come.
+/// The state of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It is under way.
+    /// The roll-out is in progress.
     Active,
-    /// The new release serves, and the others are stopped.
+    /// The new release serves all traffic, and the others are stopped.
     Completed,
-    /// The new release gets nothing any more.
+    /// The new release gets no further requests.
     RolledBack,
 }
 
 impl Standing {
-    /// Whether nothing follows.
+    /// Reports whether the state is final.
     pub fn is_end(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the state in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Active => "active",
@@ -91,51 +97,52 @@
     }
 }
 
-/// What the boxes wrote of a roll-out.
+/// The state of a roll-out as last written to the store by a box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
-    /// How far it has come.
+    /// The state.
     pub standing: Standing,
-    /// The release of the order that it speaks of.
+    /// The release of the order that the state refers to.
     pub release: Release,
-    /// The store's number of that word.
+    /// The store's revision of the state.
     pub revision: Revision,
 }
 
-/// What the store holds of the roll-out of one service.
+/// The stored order and state of one service's roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The operator's order; none where it was withdrawn.
+    /// The operator's order; `None` if it was withdrawn.
     pub order: Option<Order>,
-    /// What the boxes wrote last.
+    /// The state last written by a box.
     pub written: Option<Written>,
-    /// How long the box that tells this has known the order.
+    /// How long the box that reports this has known the order.
     pub age: Millis,
 }
 
 impl Entry {
-    /// What was written of this order; what was written before it speaks of an earlier one.
+    /// Returns the state written for the current order. A state written before the order refers to
+    /// an earlier one and is ignored.
     pub fn standing(&self) -> Option<Standing> {
         let written = self.written.as_ref()?;
-        let answers =
+        let refers_to =
             |order: &Order| written.revision > order.revision && written.release == order.release;
-        let current = self.order.as_ref().is_none_or(answers);
+        let current = self.order.as_ref().is_none_or(refers_to);
         current.then_some(written.standing)
     }
 
-    /// The release that it speaks of.
+    /// Returns the release that the order, or else the last written state, refers to.
     pub fn release(&self) -> Option<&Release> {
         let ordered = self.order.as_ref().map(|order| &order.release);
         ordered.or(self.written.as_ref().map(|written| &written.release))
     }
 }
 
-/// How far a release that was not shown to be good may be exposed.
+/// The limit on traffic to a release that has not been shown to be good.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Exposure {
-    /// Its share of all requests that reach its service.
+    /// Its share of all requests to its service.
     pub share: f64,
-    /// Requests beyond that share.
+    /// Requests permitted above that share.
     pub slack: f64,
 }
 
@@ -149,52 +156,55 @@
 }
 
 impl Exposure {
-    /// The part of a region's servers of the new release that share what it gets: each then has the load that
-    /// it will have in the end, and a release that fails under load shows that.
+    /// Returns how many of a region's servers of the new release share its traffic. The number is
+    /// chosen so that each has the load that it will have after the roll-out, and a release that
+    /// fails under load shows it.
     pub fn servers(&self, servers: usize) -> usize {
-        (USED * self.share * servers as f64).ceil() as usize
+        (USED_EXPOSURE_SHARE * self.share * servers as f64).ceil() as usize
     }
 }
 
-/// What one box may still send to a new release.
+/// The budget of one box for requests to a new release.
 ///
-/// Each request that it sends to the service earns a part of one to the new release. Boxes begin with parts
-/// that differ, evenly spread between none and one: so all boxes together send the new release its share of
-/// what they send, be they three or three hundred, and no box needs to hear of another. Drawn for each
-/// request by chance, and held back where a box would go beyond the share by itself, 72 boxes with three
-/// requests a second each sent 0.013 to 0.03 of the requests where 0.08 were meant.
+/// Each request that the box sends to the service earns a part of one to the new release. Boxes
+/// start with parts that differ, evenly distributed between none and one, so all boxes together
+/// send the new release its share of their requests, for three boxes as for three hundred, without
+/// coordination. When the release was drawn at random for each request, and each box stayed below
+/// the share on its own, 72 boxes with three requests per second each sent 0.013 to 0.03 of the
+/// requests instead of 0.08.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Permits(f64);
 
 impl Permits {
-    /// A box begins with a part of one, from a random number of its own.
+    /// Creates the budget with a part of one request, from a random number drawn for this box.
     pub fn new(draw: u64) -> Self {
         Self(draw as f64 / u64::MAX as f64)
     }
 
-    /// Whether one more request may go to the new release: it earns its own part too.
+    /// Reports whether one more request may go to the new release, including the part that the
+    /// request itself earns.
     pub fn admit(self, exposure: &Exposure) -> bool {
-        self.0 + USED * exposure.share >= 1.0
+        self.0 + USED_EXPOSURE_SHARE * exposure.share >= 1.0
     }
 
-    /// Notes a request that goes to the service, and whether it goes to the new release.
+    /// Counts a request to the service, and whether it goes to the new release.
     pub fn spend(&mut self, new: bool, exposure: &Exposure) {
         let spent = if new { 1.0 } else { 0.0 };
-        self.0 = (self.0 + USED * exposure.share).min(SAVED) - spent;
+        self.0 = (self.0 + USED_EXPOSURE_SHARE * exposure.share).min(MAX_SAVED_REQUESTS) - spent;
     }
 }
 
-/// Answers of the servers of one side, and how many of them were failures or slow.
+/// Answers of one side of the comparison, and how many of them failed or were slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
     /// All answers.
     pub answers: u32,
-    /// The bad ones.
+    /// Answers that failed or were slow.
     pub bad: u32,
 }
 
 impl Count {
-    /// Takes one more answer.
+    /// Counts one more answer.
     pub fn add(&mut self, bad: bool) {
         self.answers += 1;
         self.bad += u32::from(bad);
@@ -207,7 +217,8 @@
         }
     }
 
-    /// What came since `earlier`; a box that was lost took its counts along.
+    /// Returns the answers since `earlier`. The difference stops at zero, since the counts of a
+    /// lost box are lost with it.
     fn since(self, earlier: Self) -> Self {
         let answers = self.answers.saturating_sub(earlier.answers);
         let bad = self.bad.saturating_sub(earlier.bad);
@@ -218,32 +229,33 @@
     }
 }
 
-/// The logarithm of how much better the answers of a release are explained by its being worse than `old` than
-/// by its being as good; zero where too little is known of `old`.
+/// Returns the log likelihood ratio of the new release being worse than `old` against its being as
+/// good; zero if there are too few answers for a comparison.
 pub fn evidence(old: Count, new: Count) -> f64 {
-    if old.answers < CONTROL || new.answers == 0 {
+    if old.answers < MIN_CONTROL_ANSWERS || new.answers == 0 {
         return 0.0;
     }
-    // As bad as the other releases may be by what they answered: two standard deviations above it.
-    let seen = f64::from(old.bad) + 1.0;
-    let share = (seen + 2.0 * seen.sqrt()) / f64::from(old.answers + CONTROL);
-    let share = share.clamp(LEAST_BAD, 0.9);
+    // The highest share of bad answers that is consistent with the other releases: two standard
+    // deviations above the observed share.
+    let bad_count = f64::from(old.bad) + 1.0;
+    let share = (bad_count + 2.0 * bad_count.sqrt()) / f64::from(old.answers + MIN_CONTROL_ANSWERS);
+    let share = share.clamp(MIN_BAD_SHARE, 0.9);
     let (bad, good) = (f64::from(new.bad), f64::from(new.answers - new.bad));
-    let weights = DEGREES.map(|degree| {
-        let worse = share + degree * (1.0 - share);
+    let weights = EFFECT_SIZES.map(|effect_size| {
+        let worse = share + effect_size * (1.0 - share);
         bad * (worse / share).ln() + good * ((1.0 - worse) / (1.0 - share)).ln()
     });
     let most = weights.into_iter().fold(f64::MIN, f64::max);
     let sum: f64 = weights.iter().map(|weight| (weight - most).exp()).sum();
-    most + (sum / DEGREES.len() as f64).ln()
+    most + (sum / EFFECT_SIZES.len() as f64).ln()
 }
 
-/// What all boxes that were heard of have seen, by route.
+/// The answers seen by all boxes, by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool(Vec<Trial>);
 
 impl Pool {
-    /// Adds up what several boxes tell.
+    /// Sums up the reports of several boxes.
     pub fn gather<'a>(trials: impl IntoIterator<Item = &'a Trial>) -> Self {
         let mut pool = Vec::new();
         for trial in trials {
@@ -252,7 +264,7 @@
         Self(pool)
     }
 
-    /// The longest time for which a box has known the order.
+    /// Returns the longest time for which a box has known the order.
     pub fn age(&self) -> Millis {
         self.0
             .iter()
@@ -261,13 +273,13 @@
             .unwrap_or_default()
     }
 
-    /// The answers on all routes: those of the other releases, and those of the new one.
+    /// Returns the answers on all routes: those of the other releases, and those of the new one.
     pub fn answers(&self) -> (Count, Count) {
         let all = self.rows().into_iter().next();
         all.map_or_else(Default::default, |all| (all.old, all.new))
     }
 
-    /// Everything as one row, and each route's row.
+    /// Returns the sum over all routes, followed by the row of each route.
     fn rows(&self) -> Vec<Trial> {
         let mut all: Option<Trial> = None;
         for trial in &self.0 {
@@ -279,12 +291,13 @@
         all.into_iter().chain(self.0.iter().copied()).collect()
     }
 
-    /// The row that weighs most, of the whole time or of what came since `earlier`.
-    fn worst(&self, earlier: Option<&Pool>) -> Option<Finding> {
+    /// Returns the finding with the most evidence among all rows, for the whole time or since
+    /// `earlier`.
+    fn strongest_finding(&self, earlier: Option<&Pool>) -> Option<Finding> {
         let before = earlier.map(Pool::rows).unwrap_or_default();
         let rows = self.rows().into_iter().enumerate();
         let findings = rows.filter_map(|(place, row)| {
-            // The first row is the sum of all.
+            // The first row is the sum over all routes.
             let same = |b: &&Trial| b.route == row.route;
             let earlier = match place {
                 0 => before.first(),
@@ -292,7 +305,7 @@
             };
             let earlier = earlier.map_or_else(Default::default, |b| (b.old, b.new));
             let (old, new) = (row.old.since(earlier.0), row.new.since(earlier.1));
-            is_spread(&row).then(|| Finding {
+            has_enough_failing_servers(&row).then(|| Finding {
                 old,
                 new,
                 weight: evidence(old, new),
@@ -302,13 +315,13 @@
     }
 }
 
-/// Whether the bad answers come from enough of the servers of the new release.
-fn is_spread(row: &Trial) -> bool {
+/// Reports whether the bad answers come from enough servers of the new release.
+fn has_enough_failing_servers(row: &Trial) -> bool {
     let (seen, failing) = (row.seen.count_ones(), row.failing.count_ones());
-    failing * SPREAD >= seen && failing >= seen.min(2)
+    failing * SERVERS_PER_FAILING_SERVER >= seen && failing >= seen.min(2)
 }
 
-/// Adds one row to others of its kind.
+/// Adds a row to the row with the same key, or appends it.
 pub fn add_trial(pool: &mut Vec<Trial>, trial: &Trial) {
     let same = |t: &&mut Trial| t.key() == trial.key();
     match pool.iter_mut().find(same) {
@@ -325,100 +338,102 @@
     sum.failing |= trial.failing;
 }
 
-/// What decided against a release, or for it.
+/// The answers on which a verdict is based.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
     /// Answers of the releases that served before.
     pub old: Count,
-    /// Answers of the new one.
+    /// Answers of the new release.
     pub new: Count,
-    /// Logarithm of the weight of the evidence.
+    /// Logarithm of the weight of the evidence against the new release.
     pub weight: f64,
 }
 
-/// Whether a release may serve.
+/// The result of comparing a release with the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Too little is known.
+    /// There are too few answers.
     Open,
     /// It answers as well as the others.
     Good(Finding),
-    /// It may be worse than the others: more answers will tell.
+    /// It may be worse than the others; more answers are needed.
     Doubtful(Finding),
     /// It is worse than the others.
     Bad(Finding),
 }
 
 impl Verdict {
-    /// Whether the release may take over where there is no time to learn more.
+    /// Reports whether the release may take over when the deadline leaves no time for more answers.
     pub fn is_fair(self) -> bool {
         match self {
             Self::Good(_) => true,
-            Self::Doubtful(finding) => finding.weight < SUSPECTED,
+            Self::Doubtful(finding) => finding.weight < COMPLETION_EVIDENCE,
             Self::Open | Self::Bad(_) => false,
         }
     }
 }
 
-/// Looks at the evidence from time to time.
+/// Evaluates the evidence periodically.
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
-    /// What was known at earlier looks, the oldest first.
-    looks: std::collections::VecDeque<(Time, Pool)>,
+    /// Snapshots of earlier evaluations, the oldest first.
+    snapshots: std::collections::VecDeque<(Time, Pool)>,
 }
 
-/// A release that is bad only later, or only under load, is found by what came within this time.
-const LATELY: Millis = Millis(3000);
+/// Window of recent answers that are evaluated on their own, to find a release that becomes bad
+/// only later or only under load.
+const RECENT_WINDOW: Millis = Millis(3000);
 
 impl Judge {
-    /// Judges by all that is known at `now`.
+    /// Evaluates the answers known at `now`, over the whole roll-out and over the recent window.
     pub fn look(&mut self, pool: Pool, now: Time) -> Verdict {
-        let whole = pool.worst(None);
-        let lately = self
-            .looks
+        let whole = pool.strongest_finding(None);
+        let recent = self
+            .snapshots
             .front()
-            .and_then(|(_, then)| pool.worst(Some(then)));
-        let shown = pool.rows().first().map_or(0, |all| all.new.answers);
-        self.looks.push_back((now, pool));
+            .and_then(|(_, earlier)| pool.strongest_finding(Some(earlier)));
+        let new_answers = pool.rows().first().map_or(0, |all| all.new.answers);
+        self.snapshots.push_back((now, pool));
         while self
-            .looks
+            .snapshots
             .get(1)
-            .is_some_and(|(at, _)| now.since(*at) >= LATELY)
+            .is_some_and(|(at, _)| now.since(*at) >= RECENT_WINDOW)
         {
-            self.looks.pop_front();
+            self.snapshots.pop_front();
         }
-        let findings = whole.into_iter().chain(lately);
-        let worst = findings.max_by(|a, b| a.weight.total_cmp(&b.weight));
-        let worst = worst.unwrap_or_default();
-        match worst.weight {
-            weight if weight >= CONVICTED => Verdict::Bad(worst),
-            weight if weight >= CLEARED => Verdict::Doubtful(worst),
-            _ if shown < SHOWN => Verdict::Open,
+        let findings = whole.into_iter().chain(recent);
+        let strongest = findings.max_by(|a, b| a.weight.total_cmp(&b.weight));
+        let strongest = strongest.unwrap_or_default();
+        match strongest.weight {
+            weight if weight >= ROLLBACK_EVIDENCE => Verdict::Bad(strongest),
+            weight if weight >= DOUBT_EVIDENCE => Verdict::Doubtful(strongest),
+            _ if new_answers < MIN_NEW_ANSWERS => Verdict::Open,
             _ => Verdict::Good(whole.unwrap_or_default()),
         }
     }
 }
 
-/// What is typical of a time that many answers took.
+/// A moving average of the time that answers take.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Typical {
-    times: u32,
-    /// Mean of the logarithms, in milliseconds.
-    mean: f64,
+    samples: u32,
+    /// Mean of the logarithms of the times in milliseconds.
+    log_mean: f64,
 }
 
 impl Typical {
-    /// Takes one more time.
+    /// Adds a sample.
     pub fn learn(&mut self, took: Millis) {
-        self.times = self.times.saturating_add(1);
-        let weight = TYPICAL_ALPHA.max(1.0 / f64::from(self.times));
-        self.mean += weight * ((took.0 as f64 + SHORT).ln() - self.mean);
+        self.samples = self.samples.saturating_add(1);
+        let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.log_mean += weight * ((took.0 as f64 + LOG_OFFSET_MS).ln() - self.log_mean);
     }
 
-    /// The longest time that is not slow, for `scale` times the work; none before anything is typical.
+    /// Returns the longest time that is not slow, for `scale` times the work; `None` if there are
+    /// too few samples.
     pub fn bound(&self, scale: f64) -> Option<Millis> {
-        let typical = self.mean.exp() * scale;
-        let bound = typical * SLOW + SLOW_LEAST;
-        (self.times >= TYPICAL_AFTER).then_some(Millis(bound as u64))
+        let typical = self.log_mean.exp() * scale;
+        let bound = typical * SLOW_FACTOR + SLOW_MARGIN_MS;
+        (self.samples >= MIN_SAMPLES).then_some(Millis(bound as u64))
     }
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,4 +1,5 @@
-//! What this box knows of one backend server from its own traffic: work in hand, times, health.
+//! The state of one backend server as derived from this box's own traffic: attempts in flight,
+//! latency estimates and health.
 
 use crate::{
     bucket::Bucket,
@@ -8,133 +9,138 @@
     wire::{Short, Usage},
 };
 
-/// Failures in a row that open the breaker.
-const FAILURES: u32 = 3;
-/// How long an open breaker keeps work away before one probe goes.
-const OPEN: Millis = Millis(2000);
-/// How long a server that refused work is left alone.
-const COOL: Millis = Millis(2000);
-/// How long a server that was full is left alone: about one request of an application.
-const FULL: Millis = Millis(30);
-/// For how long others are told that it answered. Short, so that the answers before a crash do not
-/// hide it.
-const ANSWERED: Millis = Millis(400);
-/// For how long others are told that it could not be reached, where it does not answer meanwhile: they
-/// look again after that.
-const UNREACHABLE: Millis = Millis(2000);
-/// How long a returned server takes to its full share.
-const RAMP: Millis = Millis(3000);
-/// Share of its slots that a returned server gets at once.
-const RAMP_START: f64 = 0.5;
-/// Weight of a new time in the moving averages.
-const ALPHA: f64 = 0.2;
-/// Weight of one answer in the share of errors: some requests fail wherever they run.
-const ERROR_ALPHA: f64 = 0.05;
-/// Half of what was learned is forgotten in this time without news, so that a server that looked
-/// bad gets a request now and then and can show that it is well.
-const HALF_LIFE: Millis = Millis(1500);
-/// Half of the requests that were sent to an engine have ended after this time: long answers take
-/// one to two seconds.
-const RUN_HALF_LIFE: Millis = Millis(1000);
-/// Assumed time to the first byte before one was seen.
-const FIRST_GUESS: f64 = 100.0;
-/// Assumed time of a whole answer before one was seen.
-const WHOLE_GUESS: f64 = 500.0;
-/// Prompt tokens that an engine is assumed to read in a millisecond before one was seen to.
-const SPEED_GUESS: f64 = 45.0;
-/// A reading speed outside these bounds says more of the wait than of the engine, in tokens a
-/// millisecond.
-const SPEED_BOUNDS: (f64, f64) = (3.0, 200.0);
-/// Shortest prompt whose reading time tells of an engine's speed, in tokens.
-const SPEED_SAMPLE: u32 = 3000;
-/// Assumed time to the first token besides reading, in ms: a step of the batch and the way there.
-const STEP_GUESS: f64 = 40.0;
-/// Longest such time that is learned from one answer, in ms: beyond it the server hung.
-const STEP_MOST: f64 = 2000.0;
-
-/// Why a backend server gets no work now.
+/// Consecutive failures that open the breaker.
+const BREAKER_FAILURES: u32 = 3;
+/// How long an open breaker blocks requests before it admits one probe.
+const BREAKER_OPEN_TIME: Millis = Millis(2000);
+/// How long a server gets no requests after it refused work.
+const REFUSAL_BACKOFF: Millis = Millis(2000);
+/// How long a server gets no requests after it was full: about the time of one request to an
+/// application.
+const FULL_BACKOFF: Millis = Millis(30);
+/// How long it is reported to other boxes that the server answered. The time is short, so that answers
+/// before a crash do not hide the crash.
+const ANSWERED_REPORT_TIME: Millis = Millis(400);
+/// How long it is reported to other boxes that the server could not be reached, if it does not answer in the
+/// meantime. They probe it again after that.
+const UNREACHABLE_REPORT_TIME: Millis = Millis(2000);
+/// How long a recovered server takes to reach its full share.
+const RAMP_TIME: Millis = Millis(3000);
+/// Share of its slots that a recovered server gets at once.
+const RAMP_START_SHARE: f64 = 0.5;
+/// Weight of a new sample in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Weight of one answer in the share of errors. It is small because some requests fail on any
+/// server.
+const ERROR_WEIGHT: f64 = 0.05;
+/// Half-life of the estimates while there are no new samples, so that a server that looked bad gets
+/// an occasional request and can show that it has recovered.
+const ESTIMATE_HALF_LIFE: Millis = Millis(1500);
+/// Half of the requests sent to an engine have ended after this time: long answers take one to two
+/// seconds.
+const RUNNING_HALF_LIFE: Millis = Millis(1000);
+/// Initial estimate of the time to the first byte, in milliseconds.
+const INITIAL_FIRST_BYTE_MS: f64 = 100.0;
+/// Initial estimate of the time of a complete answer, in milliseconds.
+const INITIAL_WHOLE_MS: f64 = 500.0;
+/// Initial estimate of the prompt tokens that an engine processes per millisecond.
+const INITIAL_PROMPT_SPEED: f64 = 45.0;
+/// Bounds of a plausible prompt processing speed, in tokens per millisecond. Values outside them
+/// reflect waiting time rather than the engine.
+const PROMPT_SPEED_BOUNDS: (f64, f64) = (3.0, 200.0);
+/// Shortest prompt whose processing time is used to estimate the speed, in tokens.
+const MIN_SAMPLE_TOKENS: u32 = 3000;
+/// Initial estimate of the time to the first token besides prompt processing, in milliseconds: one
+/// step of the batch and the network.
+const INITIAL_STEP_MS: f64 = 40.0;
+/// Upper bound of one sample of that time, in milliseconds: a longer one means that the server
+/// hung.
+const MAX_STEP_MS: f64 = 2000.0;
+
+/// Why a backend server gets no requests at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bar {
-    /// It failed several times in a row.
+    /// The breaker is open after several consecutive failures.
     Broken,
-    /// It said that it takes no work.
+    /// The server refused work.
     Refusing,
-    /// It asked this box to send it nothing for a while.
+    /// The server asked this box to pause (pushback).
     PushedBack,
 }
 
-/// One backend server as this box sees it.
+/// The state of one backend server, as seen by this box.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Attempts of this box that are in hand there.
+    /// Attempts of this box in flight at the server.
     pub busy: u32,
-    failures: u32,
+    consecutive_failures: u32,
     open_until: Option<Time>,
     probing: bool,
-    cool_until: Option<Time>,
+    backoff_until: Option<Time>,
     ramp_from: Option<Time>,
-    first: f64,
-    whole: f64,
-    /// Until when it reads the prompts that are known to have been sent there.
-    read_until: f64,
-    /// Time to the first token besides reading.
-    step: f64,
-    /// Prompt tokens that it reads in a millisecond.
-    speed: f64,
-    /// Share of its answers that failed, lately.
-    failing: f64,
-    /// When the last answer told something of it.
-    heard: Time,
+    first_byte_ms: f64,
+    whole_ms: f64,
+    /// When the server finishes processing the prompts known to have been sent to it, in
+    /// milliseconds.
+    prompts_done_at: f64,
+    /// Estimated time to the first token besides prompt processing, in milliseconds.
+    step_ms: f64,
+    /// Estimated prompt tokens that it processes per millisecond.
+    prompt_speed: f64,
+    /// Recent share of its answers that failed.
+    failed_share: f64,
+    /// When the estimates were last updated.
+    updated: Time,
     /// When its last answer began.
-    answered: Option<Time>,
-    /// When it could not be reached, where it has not answered since.
-    unreachable: Option<Time>,
-    /// Requests that it may get while it is cold; none before it got one.
-    cold_saved: Option<Bucket>,
-    /// Prompt tokens of the requests that run there, as far as they are known.
-    running: f64,
-    /// When that was reckoned.
-    reckoned: Time,
+    answered_at: Option<Time>,
+    /// When it could not be reached, if it has not answered since.
+    unreachable_at: Option<Time>,
+    /// Bucket of the requests that it may get while it is cold; `None` before its first request.
+    cold_bucket: Option<Bucket>,
+    /// Prompt tokens of the requests running there, as far as known.
+    running_prompt_tokens: f64,
+    /// When `running_prompt_tokens` was last updated.
+    running_updated: Time,
     detector: Detector,
-    /// What it says that it takes from all boxes.
+    /// The rate limit that it announces over all boxes.
     pub limit: Limit,
-    /// Until when it asked this box to send it nothing.
-    pushed_back: Option<Time>,
-    /// Whether the last time that it named could not be read.
-    odd_pushback: bool,
+    /// The end of the pause that it asked this box for.
+    pushed_back_until: Option<Time>,
+    /// Whether the last pause that it asked for was unreadable.
+    unreadable_pushback: bool,
 }
 
 impl Default for Server {
     fn default() -> Self {
         Self {
             busy: 0,
-            failures: 0,
+            consecutive_failures: 0,
             open_until: None,
             probing: false,
-            cool_until: None,
+            backoff_until: None,
             ramp_from: None,
-            first: FIRST_GUESS,
-            whole: WHOLE_GUESS,
-            read_until: 0.0,
-            step: STEP_GUESS,
-            speed: SPEED_GUESS,
-            failing: 0.0,
-            heard: Time(0),
-            answered: None,
-            unreachable: None,
-            cold_saved: None,
-            running: 0.0,
-            reckoned: Time(0),
+            first_byte_ms: INITIAL_FIRST_BYTE_MS,
+            whole_ms: INITIAL_WHOLE_MS,
+            prompts_done_at: 0.0,
+            step_ms: INITIAL_STEP_MS,
+            prompt_speed: INITIAL_PROMPT_SPEED,
+            failed_share: 0.0,
+            updated: Time(0),
+            answered_at: None,
+            unreachable_at: None,
+            cold_bucket: None,
+            running_prompt_tokens: 0.0,
+            running_updated: Time(0),
             detector: Detector::default(),
             limit: Limit::default(),
-            pushed_back: None,
-            odd_pushback: false,
+            pushed_back_until: None,
+            unreadable_pushback: false,
         }
     }
 }
 
 impl Server {
-    /// Forgets all but the attempts in hand: it started again.
+    /// Resets everything but the attempts in flight after the server restarted.
     pub fn start_again(&mut self) {
         *self = Self {
             busy: self.busy,
@@ -142,262 +148,273 @@
         };
     }
 
-    /// Why it gets no work at `now`, where that is so.
+    /// Returns why the server gets no requests at `now`, if it gets none.
     pub fn bar(&self, now: Time) -> Option<Bar> {
-        // One request goes first after the time that it asked for.
-        if self.is_pushed_back(now) || self.pushed_back.is_some() && self.probing {
+        // After the pause, a single request probes the server.
+        if self.is_pushed_back(now) || self.pushed_back_until.is_some() && self.probing {
             return Some(Bar::PushedBack);
         }
-        if self.cool_until.is_some_and(|t| now < t) {
+        if self.backoff_until.is_some_and(|t| now < t) {
             return Some(Bar::Refusing);
         }
         let open = self.open_until?;
         (now < open || self.probing).then_some(Bar::Broken)
     }
 
-    /// The slots it gets at `now`, out of `slots`.
+    /// Returns the slots that may be used at `now`, out of `slots`.
     pub fn slots(&self, slots: u32, now: Time) -> u32 {
         let Some(from) = self.ramp_from else {
             return slots;
         };
-        let part = now.since(from).0 as f64 / RAMP.0 as f64;
-        let share = (RAMP_START + (1.0 - RAMP_START) * part).min(1.0);
+        let progress = now.since(from).0 as f64 / RAMP_TIME.0 as f64;
+        let share = (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * progress).min(1.0);
         ((f64::from(slots) * share).ceil() as u32).max(1)
     }
 
-    /// What is left of something learned at the last answer.
-    fn faded(&self, learned: f64, guess: f64, now: Time) -> f64 {
-        guess + (learned - guess) * unit::left_after(now.since(self.heard), HALF_LIFE)
+    /// Returns `estimate` after its decay towards `initial` since the last update.
+    fn decayed(&self, estimate: f64, initial: f64, now: Time) -> f64 {
+        initial
+            + (estimate - initial) * unit::decay_factor(now.since(self.updated), ESTIMATE_HALF_LIFE)
     }
 
-    /// Forgets a part of what was learned before `now`.
-    fn fade(&mut self, now: Time) {
-        self.step = self.faded(self.step, STEP_GUESS, now);
-        self.failing = self.faded(self.failing, 0.0, now);
-        self.heard = now;
+    /// Applies the decay up to `now` to the estimates.
+    fn decay(&mut self, now: Time) {
+        self.step_ms = self.decayed(self.step_ms, INITIAL_STEP_MS, now);
+        self.failed_share = self.decayed(self.failed_share, 0.0, now);
+        self.updated = now;
     }
 
-    /// Expected time to the first byte.
+    /// Returns the expected time to the first byte.
     pub fn first(&self) -> Millis {
-        Millis(self.first as u64)
+        Millis(self.first_byte_ms as u64)
     }
 
-    /// Expected time to the first token of a prompt of which `unread` tokens are not cached there.
+    /// Returns the expected time to the first token of a prompt of which `unread` tokens are not
+    /// cached at the server.
     pub fn first_token(&self, unread: u32, now: Time) -> Millis {
-        let reading = self.pending(now) + f64::from(unread) / self.speed;
-        let step = self.faded(self.step, STEP_GUESS, now);
+        let reading = self.pending(now) + f64::from(unread) / self.prompt_speed;
+        let step = self.decayed(self.step_ms, INITIAL_STEP_MS, now);
         Millis((step + reading) as u64)
     }
 
-    /// Time until it has read the prompts that are known to have been sent there.
+    /// Returns the time in milliseconds until the server has processed the prompts known to have
+    /// been sent to it.
     pub fn pending(&self, now: Time) -> f64 {
-        (self.read_until - now.0 as f64).max(0.0)
+        (self.prompts_done_at - now.0 as f64).max(0.0)
     }
 
-    /// Time that it takes to read `tokens`.
+    /// Returns the time in milliseconds that it takes to process `tokens`.
     pub fn reading(&self, tokens: u32) -> f64 {
-        f64::from(tokens) / self.speed
+        f64::from(tokens) / self.prompt_speed
     }
 
-    /// Notes that `tokens` are sent there to be read.
+    /// Adds `tokens` to the prompt tokens that the server has yet to process.
     pub fn hear(&mut self, tokens: u32, now: Time) {
-        let from = self.read_until.max(now.0 as f64);
-        self.read_until = from + self.reading(tokens);
+        let from = self.prompts_done_at.max(now.0 as f64);
+        self.prompts_done_at = from + self.reading(tokens);
     }
 
-    /// Prompt tokens of the requests that likely run there.
+    /// Returns the prompt tokens of the requests that are likely still running there.
     pub fn running_tokens(&self, now: Time) -> f64 {
-        self.running * unit::left_after(now.since(self.reckoned), RUN_HALF_LIFE)
+        self.running_prompt_tokens
+            * unit::decay_factor(now.since(self.running_updated), RUNNING_HALF_LIFE)
     }
 
-    /// Notes that a request with a prompt of `tokens` goes there.
+    /// Records that a request with a prompt of `tokens` is sent there.
     pub fn add_prompt(&mut self, tokens: u32, now: Time) {
-        self.running = self.running_tokens(now) + f64::from(tokens);
-        self.reckoned = now;
+        self.running_prompt_tokens = self.running_tokens(now) + f64::from(tokens);
+        self.running_updated = now;
     }
 
-    /// Share of its answers that failed, lately.
+    /// Returns the recent share of its answers that failed.
     pub fn failing(&self, now: Time) -> f64 {
-        self.faded(self.failing, 0.0, now)
+        self.decayed(self.failed_share, 0.0, now)
     }
 
-    /// Whether it may get a request while it is cold, at `rate` for this box.
+    /// Reports whether it may get a request while it is cold, at `rate` for this box.
     pub fn admits_cold(&self, rate: Rate, now: Time) -> bool {
-        self.cold_saved(rate, now) >= 1.0
+        self.cold_tokens(rate, now) >= 1.0
     }
 
-    /// Notes a request that it gets while it is cold.
+    /// Counts a request that it gets while it is cold.
     pub fn spend_cold(&mut self, rate: Rate, now: Time) {
-        let saved = self.cold_saved.get_or_insert(Bucket::new(1.0, now));
-        saved.spend(rate, 1.0, now);
+        let bucket = self.cold_bucket.get_or_insert(Bucket::new(1.0, now));
+        bucket.take(rate, 1.0, now);
     }
 
-    fn cold_saved(&self, rate: Rate, now: Time) -> f64 {
-        let saved = self.cold_saved.as_ref();
-        saved.map_or(1.0, |saved| saved.saved(rate, 1.0, now))
+    fn cold_tokens(&self, rate: Rate, now: Time) -> f64 {
+        let bucket = self.cold_bucket.as_ref();
+        bucket.map_or(1.0, |bucket| bucket.tokens(rate, 1.0, now))
     }
 
-    /// Expected time of a whole answer.
+    /// Returns the expected time of a complete answer.
     pub fn whole(&self) -> Millis {
-        Millis(self.whole as u64)
+        Millis(self.whole_ms as u64)
     }
 
-    /// Notes that its streams brought something, and the longest pause of one; true where it was taken
-    /// for failed until now.
+    /// Records data on its streams and the longest pause between data on one stream. Returns true
+    /// if the server was considered failed until now.
     pub fn hear_stream(&mut self, pause: Millis, now: Time) -> bool {
-        let regained = self.detector.hear(pause, now);
-        if regained {
-            self.failing = 0.0;
-            self.heard = now;
+        let recovered = self.detector.hear(pause, now);
+        if recovered {
+            self.failed_share = 0.0;
+            self.updated = now;
         }
-        regained
+        recovered
     }
 
-    /// Notes that its `streams` brought nothing for `span`; true where it counts as failed from now on.
+    /// Records that its `streams` received no data for `span`. Returns true if the server is
+    /// considered failed from now on.
     pub fn miss_stream(&mut self, span: Millis, streams: usize, now: Time) -> bool {
         let failed = self.detector.wait(span, streams, now);
         if failed {
-            self.failing = 1.0;
-            self.heard = now;
+            self.failed_share = 1.0;
+            self.updated = now;
         }
         failed
     }
 
-    /// When it was taken for failed, where it still is.
+    /// Returns when the server was considered failed, if it still is.
     pub fn failed_at(&self) -> Option<Time> {
         self.detector.failed_at()
     }
 
-    /// Notes an attempt that goes there with `work` prompt tokens to read.
+    /// Records an attempt sent there with `work` prompt tokens to process.
     pub fn start(&mut self, work: u32, now: Time) {
         self.busy += 1;
         self.hear(work, now);
-        self.probing = self.open_until.is_some() || self.pushed_back.is_some();
+        self.probing = self.open_until.is_some() || self.pushed_back_until.is_some();
     }
 
-    /// Notes the first byte of an answer after `took`, where `expected` was expected and `work`
-    /// prompt tokens were to be read; true where the server was taken for failed until now.
+    /// Records the first byte of an answer after `took`, where `expected` was expected and `work`
+    /// prompt tokens were to be processed. Returns true if the server was considered failed until
+    /// now.
     pub fn begin(&mut self, took: Millis, expected: Millis, work: u32, now: Time) -> bool {
-        let regained = self.hear_stream(Millis(0), now);
-        self.fade(now);
-        self.failing -= ERROR_ALPHA * self.failing;
-        self.answered = Some(now);
-        self.unreachable = None;
+        let recovered = self.hear_stream(Millis(0), now);
+        self.decay(now);
+        self.failed_share -= ERROR_WEIGHT * self.failed_share;
+        self.answered_at = Some(now);
+        self.unreachable_at = None;
         self.learn(took, expected, work);
-        self.first += ALPHA * (took.0 as f64 - self.first);
-        self.failures = 0;
+        self.first_byte_ms += SAMPLE_WEIGHT * (took.0 as f64 - self.first_byte_ms);
+        self.consecutive_failures = 0;
         self.probing = false;
-        // The answer to a request that was sent before may begin within the time that it asked for.
-        let returned = self.pushed_back.take_if(|until| now >= *until).is_some();
+        // An answer to a request sent before the pushback may begin while the pause lasts; it does
+        // not end the pause.
+        let returned = self
+            .pushed_back_until
+            .take_if(|until| now >= *until)
+            .is_some();
         if self.open_until.take().is_some() || returned {
             self.ramp_from = Some(now);
         }
-        regained
+        recovered
     }
 
-    /// Notes the end of an attempt; `took` is given where the answer was whole.
+    /// Records the end of an attempt; `took` is given if the answer was complete.
     pub fn end(&mut self, took: Option<Millis>) {
         self.busy = self.busy.saturating_sub(1);
         self.probing = false;
         if let Some(took) = took {
-            self.whole += ALPHA * (took.0 as f64 - self.whole);
+            self.whole_ms += SAMPLE_WEIGHT * (took.0 as f64 - self.whole_ms);
         }
     }
 
-    /// Corrects what is expected of the engine by what a request took.
+    /// Updates the speed estimates from the time that a request took.
     fn learn(&mut self, took: Millis, expected: Millis, work: u32) {
         let (took, expected) = (took.0 as f64, expected.0 as f64);
-        if work < SPEED_SAMPLE {
-            let step = (took - (expected - self.step)).max(0.0);
-            self.step += ALPHA * (step.min(STEP_MOST) - self.step);
+        if work < MIN_SAMPLE_TOKENS {
+            let step = (took - (expected - self.step_ms)).max(0.0);
+            self.step_ms += SAMPLE_WEIGHT * (step.min(MAX_STEP_MS) - self.step_ms);
             return;
         }
-        let reading = (took - self.step).max(1.0);
-        let ratio = (expected - self.step).max(1.0) / reading;
-        let speed = self.speed * ratio.clamp(0.25, 4.0);
-        let speed = speed.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
-        self.speed += ALPHA * (speed - self.speed);
+        let reading = (took - self.step_ms).max(1.0);
+        let ratio = (expected - self.step_ms).max(1.0) / reading;
+        let speed = self.prompt_speed * ratio.clamp(0.25, 4.0);
+        let speed = speed.clamp(PROMPT_SPEED_BOUNDS.0, PROMPT_SPEED_BOUNDS.1);
+        self.prompt_speed += SAMPLE_WEIGHT * (speed - self.prompt_speed);
     }
 
-    /// Notes that an attempt ends before its answer began: its `work` is not read any more.
+    /// Records that an attempt ended before its answer began: its `work` is no longer processed.
     pub fn withdraw(&mut self, work: u32) {
-        self.read_until -= self.reading(work);
+        self.prompts_done_at -= self.reading(work);
     }
 
-    /// Notes that it ran a request and answered with an error.
+    /// Records that it ran a request and answered with an error.
     pub fn err(&mut self, now: Time) {
-        self.fade(now);
-        self.failing += ERROR_ALPHA * (1.0 - self.failing);
+        self.decay(now);
+        self.failed_share += ERROR_WEIGHT * (1.0 - self.failed_share);
     }
 
-    /// Notes that it stayed silent for too long, or broke an answer off.
+    /// Records that an answer was overdue or broke off.
     pub fn stall(&mut self, now: Time) {
-        self.fade(now);
-        self.failing += ALPHA * (1.0 - self.failing);
+        self.decay(now);
+        self.failed_share += SAMPLE_WEIGHT * (1.0 - self.failed_share);
     }
 
-    /// Notes a failure of the server.
+    /// Records a failure, and opens the breaker after several consecutive ones.
     pub fn fail(&mut self, now: Time) {
         self.stall(now);
-        self.failures += 1;
-        if self.failures >= FAILURES {
-            self.open_until = Some(now + OPEN);
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= BREAKER_FAILURES {
+            self.open_until = Some(now + BREAKER_OPEN_TIME);
         }
     }
 
-    /// Notes that the server could not be reached.
+    /// Records that the server could not be reached.
     pub fn miss(&mut self, now: Time) {
         self.fail(now);
-        self.unreachable = Some(now);
+        self.unreachable_at = Some(now);
     }
 
-    /// What other boxes are told of it; none where nothing was seen of it lately.
+    /// Returns the state to report to other boxes; `None` if there was no recent activity.
     pub fn usage(&self, backend: Short, now: Time) -> Option<Usage> {
-        let lately = |at: Option<Time>, span| at.is_some_and(|at| now.since(at) <= span);
+        let recently = |at: Option<Time>, span| at.is_some_and(|at| now.since(at) <= span);
         let usage = Usage {
             backend,
             busy: self.busy,
-            answered: lately(self.answered, ANSWERED).into(),
-            unreachable: lately(self.unreachable, UNREACHABLE).into(),
+            answered: recently(self.answered_at, ANSWERED_REPORT_TIME).into(),
+            unreachable: recently(self.unreachable_at, UNREACHABLE_REPORT_TIME).into(),
         };
         (usage.busy + usage.answered + usage.unreachable > 0).then_some(usage)
     }
 
-    /// Notes that it wants nothing from this box for `span`; true where it did not ask for that already. A
-    /// shorter time takes nothing off a longer one that was asked for before.
+    /// Records that the server asked this box to pause for `span`. Returns true if no pause was in
+    /// effect before. A shorter pause does not shorten a longer one that was requested before.
     pub fn push_back(&mut self, span: Millis, now: Time) -> bool {
-        self.odd_pushback = false;
+        self.unreadable_pushback = false;
         if span == Millis(0) {
             return false;
         }
-        let news = !self.is_pushed_back(now);
-        self.pushed_back = self.pushed_back.max(Some(now + span));
-        news
+        let is_new = !self.is_pushed_back(now);
+        self.pushed_back_until = self.pushed_back_until.max(Some(now + span));
+        is_new
     }
 
-    /// Notes that it named a time that cannot be read; true for the first in a row.
+    /// Records that the requested pause was unreadable; returns true for the first one in a row.
     pub fn push_back_oddly(&mut self) -> bool {
-        !std::mem::replace(&mut self.odd_pushback, true)
+        !std::mem::replace(&mut self.unreadable_pushback, true)
     }
 
-    /// Whether it wants nothing from this box at `now`.
+    /// Reports whether a pause that it asked for is in effect at `now`.
     pub fn is_pushed_back(&self, now: Time) -> bool {
         self.pushback_left(now) > Millis(0)
     }
 
-    /// How much longer it wants nothing from this box.
+    /// Returns the remaining time of the pause that it asked for.
     pub fn pushback_left(&self, now: Time) -> Millis {
-        self.pushed_back.map_or(Millis(0), |until| until.since(now))
+        self.pushed_back_until
+            .map_or(Millis(0), |until| until.since(now))
     }
 
-    /// Notes that the server has no slot: others sent there too.
+    /// Records that the server had no free slot, since other boxes sent requests there too.
     pub fn fill(&mut self, now: Time) {
-        self.cool_until = Some(now + FULL);
+        self.backoff_until = Some(now + FULL_BACKOFF);
     }
 
-    /// Notes that the server refused work.
+    /// Records that the server refused work.
     pub fn refuse(&mut self, now: Time) {
-        self.cool_until = Some(now + COOL);
-        self.ramp_from = Some(now + COOL);
+        self.backoff_until = Some(now + REFUSAL_BACKOFF);
+        self.ramp_from = Some(now + REFUSAL_BACKOFF);
     }
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,7 +1,9 @@
-//! Which customers a box serves worst: the share of their requests in the last minute that were refused or late.
+//! The customers that a box serves worst: by the share of their requests in the last minute that
+//! were refused or late.
 //!
-//! Load pattern: some thousand customers, most of whom are served well. The table is bounded: a customer who
-//! is served well gives way to one who is not, so what is kept and told does not grow with the customers.
+//! Load pattern: some thousand customers, most of which are served well. The table is bounded: a
+//! customer that is served well is removed in favour of one that is not, so the memory and the
+//! reports do not grow with the number of customers.
 
 use std::collections::HashMap;
 
@@ -13,40 +15,41 @@
 };
 
 /// Customers that are counted at once, at some 220 B each.
-const COUNTED: usize = 512;
-/// Rows that are told at most.
-const ROWS: usize = 16;
-/// One customer in so many is told of.
-const PART: usize = 10;
-/// The last minute in spans: the oldest is forgotten as a whole.
-const SPANS: usize = 6;
-const SPAN: Millis = Millis(10_000);
-/// Requests that weigh against those of a customer who sent few: one refusal of one request says little.
-const FEW: f64 = 5.0;
+const MAX_CUSTOMERS: usize = 512;
+/// Maximum number of reported customers.
+const MAX_ROWS: usize = 16;
+/// One in this many customers is reported.
+const REPORTED_ONE_IN: usize = 10;
+/// Number of spans in the last minute. The oldest span is dropped as a whole.
+const SPAN_COUNT: usize = 6;
+const SPAN_TIME: Millis = Millis(10_000);
+/// Requests added to the denominator for every customer, so that one refusal of a single request
+/// weighs little.
+const PRIOR_REQUESTS: f64 = 5.0;
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer began in time.
+    /// A complete answer began in time.
     Served,
-    /// It was refused, though its customer kept to its allotment.
+    /// It was refused although its customer was within its allotment.
     Refused,
-    /// It was beyond its customer's allotment.
+    /// It exceeded its customer's allotment.
     Over,
-    /// Its answer began late, broke, or never came.
+    /// Its answer began late, broke off or never came.
     Late,
 }
 
-/// Requests of a customer.
+/// Numbers of a customer's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All that ended, but for those beyond the allotment.
+    /// Requests that ended, except those above the allotment.
     pub ended: u32,
-    /// Refused.
+    /// Refused requests.
     pub refused: u32,
-    /// Late, broken or unanswered.
+    /// Requests whose answer was late, broken or missing.
     pub late: u32,
-    /// Beyond the allotment.
+    /// Requests above the allotment.
     pub over: u32,
 }
 
@@ -69,13 +72,13 @@
         self.refused + self.late
     }
 
-    /// How badly it was served: the share that was refused or late, less where few requests show it.
-    fn badness(&self) -> f64 {
-        f64::from(self.bad()) / (f64::from(self.ended) + FEW)
+    /// Returns the share of requests that were refused or late, lowered if there are few requests.
+    fn bad_share(&self) -> f64 {
+        f64::from(self.bad()) / (f64::from(self.ended) + PRIOR_REQUESTS)
     }
 }
 
-/// A customer who is served badly.
+/// A customer with refused or late requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Its name.
@@ -84,54 +87,59 @@
     pub tally: Tally,
 }
 
-/// The last minute of one customer: each place holds the newest span that falls on it.
+/// The last minute of one customer: a ring of spans, each with its number.
 #[derive(Clone, Debug, Default)]
-struct Minute([(u64, Tally); SPANS]);
+struct Minute([(u64, Tally); SPAN_COUNT]);
 
 impl Minute {
     fn count(&mut self, outcome: Outcome, now: Time) {
-        let span = number(now);
-        let place = &mut self.0[span as usize % SPANS];
-        if place.0 != span {
-            *place = (span, Tally::default());
+        let span = span_number(now);
+        let slot = &mut self.0[span as usize % SPAN_COUNT];
+        if slot.0 != span {
+            *slot = (span, Tally::default());
         }
-        place.1.count(outcome);
+        slot.1.count(outcome);
     }
 
     fn sum(&self, now: Time) -> Tally {
-        let span = number(now);
-        let lately = self.0.iter().filter(|(at, _)| at + SPANS as u64 > span);
-        lately.fold(Tally::default(), |mut sum, (_, tally)| {
+        let span = span_number(now);
+        let recent = self
+            .0
+            .iter()
+            .filter(|(at, _)| at + SPAN_COUNT as u64 > span);
+        recent.fold(Tally::default(), |mut sum, (_, tally)| {
             sum.add(*tally);
             sum
         })
     }
 }
 
-/// Counted from one: a place that was never used holds zero.
-fn number(now: Time) -> u64 {
-    now.0 / SPAN.0 + 1
+/// Returns the number of the current span, counted from one: an unused entry of the ring holds
+/// zero.
+fn span_number(now: Time) -> u64 {
+    now.0 / SPAN_TIME.0 + 1
 }
 
-/// What a box counts of its customers' requests.
+/// The request counts of a box, by customer.
 #[derive(Clone, Debug, Default)]
 pub struct Service(HashMap<Customer, Minute>);
 
 impl Service {
-    /// Notes how a request of `customer` ended.
+    /// Records how a request of `customer` ended.
     pub fn note(&mut self, customer: &Customer, outcome: Outcome, now: Time) {
         if let Some(minute) = self.0.get_mut(customer) {
             return minute.count(outcome, now);
         }
         let bad = matches!(outcome, Outcome::Refused | Outcome::Late);
-        if self.0.len() >= COUNTED && !(bad && self.make_room(now)) {
+        if self.0.len() >= MAX_CUSTOMERS && !(bad && self.make_room(now)) {
             return;
         }
         let minute = self.0.entry(customer.clone()).or_default();
         minute.count(outcome, now);
     }
 
-    /// Forgets the customer who is served best, unless all are served badly.
+    /// Removes the customer with the fewest bad requests, unless every customer has more than one.
+    /// Returns whether it did.
     fn make_room(&mut self, now: Time) -> bool {
         let bad = |minute: &Minute| minute.sum(now).bad();
         let rows = self.0.iter().map(|(name, minute)| (bad(minute), name));
@@ -140,21 +148,22 @@
         best.is_some_and(|name| self.0.remove(&name).is_some())
     }
 
-    /// Forgets customers who sent nothing in the last minute.
+    /// Removes customers without requests in the last minute.
     pub fn sweep(&mut self, now: Time) {
         self.0
             .retain(|_, minute| minute.sum(now) != Tally::default());
     }
 
-    /// The worst tenth of the customers, as far as they are served badly at all; the worst comes first.
+    /// Returns the worst tenth of the customers, the worst first, without customers that had no
+    /// refused or late request.
     pub fn worst(&self, now: Time) -> Vec<Row> {
         let sums = self.0.iter().map(|(name, minute)| (name, minute.sum(now)));
         let mut sums: Vec<(&Customer, Tally)> = sums.collect();
         sums.retain(|(_, tally)| *tally != Tally::default());
-        let most = sums.len().div_ceil(PART).min(ROWS);
+        let most = sums.len().div_ceil(REPORTED_ONE_IN).min(MAX_ROWS);
         sums.retain(|(_, tally)| tally.bad() > 0);
         sums.sort_by(|a, b| {
-            let order = b.1.badness().total_cmp(&a.1.badness());
+            let order = b.1.bad_share().total_cmp(&a.1.bad_share());
             order.then_with(|| a.0.cmp(b.0))
         });
         let rows = sums.into_iter().take(most);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The checked settings of one box, read from its INI file at start.
+//! The validated settings of one box, read from its INI file at start.
 
 use std::{fmt, net::SocketAddr, str::FromStr};
 
@@ -15,20 +15,20 @@
     unit::{Bytes, Millis},
 };
 
-/// Shortest secret accepted, in bytes.
-const MIN_SECRET: usize = 16;
+/// Minimum length of a secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// A shared secret; it never shows in logs.
+/// A shared secret, redacted in logs.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// The secret's bytes.
+    /// Returns the bytes of the secret.
     pub fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
     }
 
-    /// The secret as text, for a header.
+    /// Returns the secret as text, for use in a header.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -43,20 +43,20 @@
 impl FromStr for Secret {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        if text.len() < MIN_SECRET || !text.bytes().all(|b| b.is_ascii_graphic()) {
+        if text.len() < MIN_SECRET_BYTES || !text.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(format!(
-                "a secret has at least {MIN_SECRET} visible ASCII characters"
+                "a secret must consist of at least {MIN_SECRET_BYTES} visible ASCII characters"
             ));
         }
         Ok(Self(text.to_owned()))
     }
 }
 
-/// Where another box may be found at start: `REGION/IP:PORT` of its gossip listener, or `IP:PORT`
-/// where its region is not known.
+/// The address of another box to contact at start: `REGION/IP:PORT` of its gossip listener, or
+/// `IP:PORT` if its region is not known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seed {
-    /// The region of the box, where it is known.
+    /// The region of the box, if known.
     pub region: Option<Region>,
     /// Its gossip listener.
     pub gossip: SocketAddr,
@@ -77,24 +77,24 @@
     }
 }
 
-/// The addresses that callers and other boxes are told; none means the listener's own.
+/// The addresses announced to callers and other boxes; `None` means the listener's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Advertise {
-    /// For callers.
+    /// The address for callers.
     pub public: Option<SocketAddr>,
-    /// For other boxes, HTTP.
+    /// The HTTP address for other boxes.
     pub peer: Option<SocketAddr>,
-    /// For other boxes, nng.
+    /// The nng address for other boxes.
     pub gossip: Option<SocketAddr>,
 }
 
-/// How callers, backend servers and the platform speak to a box.
+/// The protocol used with callers, backend servers and the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Interface {
-    /// The product's own way.
+    /// The gateway's native protocol.
     #[default]
     Own,
-    /// The way of the users' platform.
+    /// The protocol of the users' platform.
     Platform,
 }
 
@@ -123,19 +123,19 @@
     }
 }
 
-/// Part of a box's memory that request bodies may take: the rest holds what stands beside them.
-const BODY_PART: u64 = 2;
+/// Divisor of a box's memory that limits request bodies: the remainder is for everything else.
+const BODY_MEMORY_DIVISOR: u64 = 2;
 
-/// Everything one box is told at start.
+/// The settings of one box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The box's own name.
+    /// The name of the box.
     pub name: BoxName,
-    /// The region it stands in.
+    /// The region of the box.
     pub region: Region,
-    /// The failure domain it stands in.
+    /// The failure domain of the box.
     pub domain: Domain,
-    /// How others speak to it.
+    /// The protocol used with the box.
     pub interface: Interface,
     /// Listener for callers.
     pub public: SocketAddr,
@@ -145,72 +145,74 @@
     pub gossip: SocketAddr,
     /// Listener for operators.
     pub admin: SocketAddr,
-    /// Listener for the platform's readiness checks, where it has its own.
+    /// Separate listener for the platform's readiness checks, if any.
     pub ready: Option<SocketAddr>,
-    /// Listener for look-ups of boxes, where it has its own.
+    /// Separate listener for box look-ups, if any.
     pub directory: Option<SocketAddr>,
-    /// For collectors of metrics, where they have a listener of their own.
+    /// Separate listener for metrics collectors, if any.
     pub metrics: Option<SocketAddr>,
-    /// The addresses that others are told, where they differ from the listeners.
+    /// The addresses announced to others, if they differ from the listeners.
     pub advertise: Advertise,
     /// The bearer token that operators send.
     pub admin_token: Secret,
     /// The secret that all boxes share.
     pub cluster_secret: Secret,
-    /// Boxes to greet at start.
+    /// Boxes to contact at start.
     pub seeds: Vec<Seed>,
     /// The store's addresses, tried in order.
     pub stores: Vec<SocketAddr>,
-    /// The key that holds the configuration in the store.
+    /// The key of the configuration in the store.
     pub store_key: String,
-    /// The platform's list of live and leaving boxes, where there is one.
+    /// The platform's list of live and leaving boxes, if there is one.
     pub list: Option<SocketAddr>,
-    /// Where failure domains lie, on the users' platform.
+    /// The locations of failure domains on the users' platform.
     pub places: Places,
-    /// Where spans go (OTLP over HTTP); none discards them.
+    /// The destination of trace spans (OTLP over HTTP); `None` discards them.
     pub trace: Option<SocketAddr>,
     /// The lowest level that is logged.
     pub log: log::LevelFilter,
-    /// Largest request head.
+    /// Maximum size of a request head.
     pub max_head: Bytes,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub max_body: Bytes,
-    /// What the box has of its machine.
+    /// The resources of the machine that are available to the box.
     pub size: Size,
-    /// Memory for all request bodies held at once: half of the box's at most.
+    /// Memory for all request bodies held at once: limited to half of the box's memory, but at
+    /// least `max_body`.
     pub body_memory: Bytes,
     /// How long a planned stop keeps the listener open.
     pub linger: Millis,
-    /// How many attempts beyond the first requests may have.
+    /// Limits on the attempts of requests beyond the first.
     pub retry: retry::Limits,
-    /// How far the platform lets a customer's use go beyond its allotment.
+    /// How far the platform allows a customer's use to exceed its allotment.
     pub tolerance: Tolerance,
-    /// How far a release may be exposed before it was shown to be good.
+    /// How far a release may be exposed before it has been shown to be good.
     pub exposure: Exposure,
-    /// How places are chosen.
+    /// The placement policy.
     pub policy: policy::Named,
-    /// Whether the whole system starts for the first time, so that no process ran on this box before.
+    /// Whether the whole system starts for the first time, so that no process ran on this box
+    /// before.
     pub first_start: bool,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and validates the file at `path`.
     pub fn load(path: &std::path::Path) -> eyre::Result<Self> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("cannot read settings {}", path.display()))?;
         Ok(Self::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Checks `text`; every fault is told at once.
+    /// Validates `text`; all faults are reported at once.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let mut reader = Reader::new(file, text)?;
-        refuse_odd_sections(&mut reader);
+        reject_unknown_sections(&mut reader);
         let settings = read(&mut reader);
         reader.finish(settings)
     }
 }
 
-fn refuse_odd_sections(reader: &mut Reader) {
+fn reject_unknown_sections(reader: &mut Reader) {
     const KNOWN: [&str; 6] = ["box", "listen", "advertise", "peers", "platform", "limits"];
     for name in reader.sections() {
         if !KNOWN.contains(&name.as_str()) {
@@ -229,7 +231,7 @@
     let first_start = section.or("first_start", false);
     let tls: String = section.or("tls", "off".to_owned());
     if tls != "off" {
-        section.fault("tls", "only \"off\" is built so far");
+        section.fault("tls", "only \"off\" is supported");
     }
     section.end();
 
@@ -260,7 +262,7 @@
     let mut section = reader.section("platform");
     let stores: Vec<SocketAddr> = section.list("store");
     if stores.is_empty() {
-        section.fault("store", "names no address");
+        section.fault("store", "must list at least one address");
     }
     let store_key = section.or("store_key", "petreldrum/config".to_owned());
     let list = section.optional("list");
@@ -271,7 +273,7 @@
         beat: section.or("beat", Millis(0)),
     };
     if interface == Interface::Platform && places.domains.is_empty() {
-        section.fault("domains", "names no failure domain");
+        section.fault("domains", "must list at least one failure domain");
     }
     let trace = section.optional("trace");
     section.end();
@@ -285,11 +287,11 @@
     let size = Size::new(core, section.optional("memory"), section.optional("link"));
     let mut body_memory = section.or("body_memory", Bytes(64 << 20));
     if let Some(memory) = size.memory {
-        let part = Bytes(memory.bytes().0 / BODY_PART);
-        body_memory = body_memory.min(part.max(max_body));
+        let most_body_memory = Bytes(memory.bytes().0 / BODY_MEMORY_DIVISOR);
+        body_memory = body_memory.min(most_body_memory.max(max_body));
     }
     if body_memory < max_body {
-        section.fault("body_memory", "is under max_body");
+        section.fault("body_memory", "is smaller than max_body");
     }
     let linger = section.or("linger", Millis(3000));
     let retry = retry::Limits {
@@ -301,24 +303,30 @@
         tokens: section.or("allotment_slack", 0.0),
     };
     if tolerance.window.0 == 0 {
-        section.fault("allotment_window", "is zero");
+        section.fault("allotment_window", "must be greater than zero");
     }
     if !(tolerance.tokens.is_finite() && tolerance.tokens >= 0.0) {
-        section.fault("allotment_slack", "is not a number of tokens");
+        section.fault(
+            "allotment_slack",
+            "must be a finite number of tokens, at least 0",
+        );
     }
     let exposure = Exposure {
         share: section.or("expose_share", Exposure::default().share),
         slack: section.or("expose_slack", Exposure::default().slack),
     };
     if !(0.0..=1.0).contains(&exposure.share) {
-        section.fault("expose_share", "is not between 0 and 1");
+        section.fault("expose_share", "must be between 0 and 1");
     }
     if !(exposure.slack.is_finite() && exposure.slack >= 0.0) {
-        section.fault("expose_slack", "is not a number of requests");
+        section.fault(
+            "expose_slack",
+            "must be a finite number of requests, at least 0",
+        );
     }
     let policy = section.or("policy", policy::Named::default());
     if max_head.0 < 8 << 10 {
-        section.fault("max_head", "is under 8KiB");
+        section.fault("max_head", "is smaller than 8KiB");
     }
     section.end();
 
