--- a/src/sign.rs
+++ b/src/sign.rs
@@ -1,4 +1,4 @@
-//! Short signatures with the secret that all boxes share.
+//! Truncated message authentication codes with the secret that all boxes share.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
@@ -18,7 +18,8 @@
     mac
 }
 
-/// 64 bits of a hash of `parts`, one after the other, that only a holder of the secret can make.
+/// Returns 64 bits of a keyed hash of the concatenated `parts`, which only a holder of the secret
+/// can compute.
 pub(crate) fn hash(secret: &Secret, purpose: &str, parts: &[&[u8]]) -> u64 {
     let mut mac = keyed(secret, purpose);
     for part in parts {
@@ -29,19 +30,19 @@
     u64::from_le_bytes(*first)
 }
 
-/// Puts a signature of `length` bytes behind `body`; one purpose's does not pass for another's.
+/// Appends a tag of `length` bytes to `body`. A tag for one purpose is not valid for another.
 pub(crate) fn seal(secret: &Secret, purpose: &str, mut body: Vec<u8>, length: usize) -> Vec<u8> {
     let tag = mac(secret, purpose, &body).finalize().into_bytes();
     body.extend_from_slice(&tag[..length]);
     body
 }
 
-/// Splits `bytes` into the body and its signature of `length` bytes; none where it is too short.
+/// Splits `bytes` into the body and its tag of `length` bytes; `None` if it is too short.
 pub(crate) fn split(bytes: &[u8], length: usize) -> Option<(&[u8], &[u8])> {
     bytes.split_at_checked(bytes.len().checked_sub(length)?)
 }
 
-/// Whether `tag` signs `body`, compared in constant time.
+/// Reports whether `tag` is valid for `body`; compares in constant time.
 pub(crate) fn holds(secret: &Secret, purpose: &str, body: &[u8], tag: &[u8]) -> bool {
     mac(secret, purpose, body)
         .verify_truncated_left(tag)
--- a/src/size.rs
+++ b/src/size.rs
@@ -1,4 +1,4 @@
-//! What a box has of a machine, and its weight among the boxes of its region.
+//! The machine resources available to a box, and its weight among the boxes of its region.
 
 use std::{fmt, str::FromStr};
 
@@ -6,19 +6,19 @@
 
 use crate::unit::Bytes;
 
-/// Weight of one whole core: a hundredth of a quarter of a core is the least that is told apart.
-const PER_CORE: f64 = 400.0;
-/// Mbit/s that one core's requests fill: 2 ms of a core go with 100 kbit of a long prompt, and prompts
-/// come in bursts of twice their mean.
-const LINK_PER_CORE: f64 = 100.0;
+/// Weight of one core: the smallest step is one hundredth of a quarter of a core.
+const WEIGHT_PER_CORE: f64 = 400.0;
+/// Mbit/s that the requests of one core use: 100 kbit of a long prompt take 2 ms of a core, and
+/// prompts come in bursts of twice their mean.
+const MBPS_PER_CORE: f64 = 100.0;
 
-/// Reads a quantity of a machine and its unit; zero stands for one that is not told.
+/// Reads a quantity and its unit; zero means that the quantity is not known.
 fn quantity(text: &str, unit: &str) -> Option<f64> {
     let number = text.strip_suffix(unit)?.parse().ok();
     number.filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-/// Cores, or a part of one.
+/// Number of cores, or a part of one.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Core(pub f64);
 
@@ -44,7 +44,7 @@
 pub struct Memory(pub f64);
 
 impl Memory {
-    /// The same in bytes.
+    /// Returns the size in bytes.
     pub fn bytes(self) -> Bytes {
         Bytes((self.0 * f64::from(1 << 20)) as u64)
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// A link's speed in Mbit/s.
+/// Network bandwidth in Mbit/s.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Link(pub f64);
 
@@ -84,19 +84,19 @@
     }
 }
 
-/// What a box has of its machine, as far as its settings tell.
+/// The machine resources available to a box, as far as its settings state them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Size {
-    /// Its processor.
+    /// The number of cores.
     pub core: Option<Core>,
-    /// Its memory.
+    /// The memory.
     pub memory: Option<Memory>,
-    /// Its link.
+    /// The network bandwidth.
     pub link: Option<Link>,
 }
 
 impl Size {
-    /// What is told, without what is zero.
+    /// Creates a size in which zero quantities count as unknown.
     pub fn new(core: Option<Core>, memory: Option<Memory>, link: Option<Link>) -> Self {
         Self {
             core: core.filter(|core| core.0 > 0.0),
@@ -105,49 +105,50 @@
         }
     }
 
-    /// The box's weight: the requests that the scarcer of core and link carries. None where neither is
-    /// told.
+    /// Returns the weight of the box: the capacity of the scarcer of cores and network. `None` if
+    /// neither is known.
     pub fn weight(&self) -> Option<Weight> {
         let core = self.core.map(|core| core.0);
-        let link = self.link.map(|link| link.0 / LINK_PER_CORE);
-        let scarcer = core.into_iter().chain(link).reduce(f64::min)?;
-        let number = (scarcer * PER_CORE).round() as u16;
+        let link = self.link.map(|link| link.0 / MBPS_PER_CORE);
+        let scarcest = core.into_iter().chain(link).reduce(f64::min)?;
+        let number = (scarcest * WEIGHT_PER_CORE).round() as u16;
         Some(Weight(number.clamp(Weight::MIN, Weight::MAX)))
     }
 }
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fn told<T: fmt::Display>(part: Option<T>) -> String {
+        fn or_dash<T: fmt::Display>(part: Option<T>) -> String {
             part.map_or("-".to_owned(), |part| part.to_string())
         }
         let Self { core, memory, link } = *self;
-        let weight = told(self.weight());
-        let (core, memory, link) = (told(core), told(memory), told(link));
+        let weight = or_dash(self.weight());
+        let (core, memory, link) = (or_dash(core), or_dash(memory), or_dash(link));
         write!(f, "core={core} memory={memory} link={link} weight={weight}")
     }
 }
 
-/// What a box can carry, beside the others: a four-hundredth of a core and what goes with it.
+/// The capacity of a box relative to others, in four-hundredths of a core and the network bandwidth
+/// that goes with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Weight(u16);
 
 impl Weight {
-    /// A hundredth of a core.
+    /// One hundredth of a core.
     const MIN: u16 = 4;
     /// 64 cores.
     const MAX: u16 = 25_600;
-    /// A quarter of a core: what a box has where none tells its size.
+    /// A quarter of a core: the weight of a box whose size is not known.
     pub const USUAL: Self = Self(100);
 
-    /// A weight that can be true; none for others.
+    /// Returns a weight; `None` if the number is out of range.
     pub fn new(number: u16) -> Option<Self> {
         (Self::MIN..=Self::MAX)
             .contains(&number)
             .then_some(Self(number))
     }
 
-    /// As a number.
+    /// Returns the weight as a number.
     pub fn number(self) -> u16 {
         self.0
     }
@@ -169,15 +170,17 @@
     }
 }
 
-/// What a box tells of its room.
+/// The capacity that a box reports.
 ///
-/// It stands at the end of its message: a box that does not know it reads what stands before, and
-/// what ends before it, or is no weight, reads as not told.
+/// It is the last part of its message, so that a box running an older version, which does not know
+/// it, can still read the parts before. A message that ends before it, or holds no valid weight,
+/// reads as unknown capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// What it can carry; none where it does not tell.
+    /// The capacity of the box; `None` if it is not reported.
     pub weight: Option<Weight>,
-    /// Whether it has so much in hand, for its weight, that callers should go elsewhere.
+    /// Whether the box has so many requests in flight for its weight that callers should use
+    /// another one.
     pub full: bool,
 }
 
@@ -190,8 +193,8 @@
 
 impl<'de> Deserialize<'de> for Room {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let told = <(u16, bool)>::deserialize(deserializer).ok();
-        let (number, full) = told.unwrap_or_default();
+        let decoded = <(u16, bool)>::deserialize(deserializer).ok();
+        let (number, full) = decoded.unwrap_or_default();
         let weight = Weight::new(number);
         Ok(Self { weight, full })
     }
--- a/src/unit.rs
+++ b/src/unit.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and times as newtypes.
+//! Newtypes for sizes, rates and times.
 
 use std::{
     fmt,
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Says what a quantity should have looked like.
+/// Describes the expected format of a quantity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(&'static str);
 
@@ -21,10 +21,10 @@
 
 impl std::error::Error for Error {}
 
-/// Reads digits and a unit, in multiples of the smallest one.
+/// Reads a number and a unit, and returns a multiple of the smallest unit.
 fn quantity(text: &str, units: &[(&str, u64)]) -> Option<u64> {
-    let border = text.find(|c: char| !c.is_ascii_digit())?;
-    let (digits, suffix) = text.split_at(border);
+    let digits_end = text.find(|c: char| !c.is_ascii_digit())?;
+    let (digits, suffix) = text.split_at(digits_end);
     let number: u64 = digits.parse().ok()?;
     let (_, factor) = units.iter().find(|(name, _)| *name == suffix)?;
     number.checked_mul(*factor)
@@ -37,19 +37,19 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The same span for the standard library.
+    /// Converts the span to the type of the standard library.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// Whole seconds, rounded up, at least one: the unit of `Retry-After`.
+    /// Returns whole seconds, rounded up, at least one: the unit of `Retry-After`.
     pub fn retry_seconds(self) -> u64 {
         self.0.div_ceil(1000).max(1)
     }
 }
 
-/// The part that is left, after `age`, of what halves in `half_life`.
-pub fn left_after(age: Millis, half_life: Millis) -> f64 {
+/// Returns the factor of an exponential decay with this half-life after `age`.
+pub fn decay_factor(age: Millis, half_life: Millis) -> f64 {
     0.5_f64.powf(age.0 as f64 / half_life.0 as f64)
 }
 
@@ -85,7 +85,7 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// How long ago `earlier` was; zero where it lies ahead.
+    /// Returns the time since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Time) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Requests a second.
+/// A rate in requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Rate(pub f64);
 
@@ -147,11 +147,11 @@
     type Err = Error;
     /// Reads `50/s` or `0.5/s`.
     fn from_str(text: &str) -> Result<Self, Error> {
-        const WANT: Error = Error("a positive rate such as 50/s or 0.5/s");
-        let number = text.strip_suffix("/s").ok_or(WANT)?;
-        let rate: f64 = number.parse().map_err(|_| WANT)?;
+        const EXPECTED: Error = Error("a positive rate such as 50/s or 0.5/s");
+        let number = text.strip_suffix("/s").ok_or(EXPECTED)?;
+        let rate: f64 = number.parse().map_err(|_| EXPECTED)?;
         if !rate.is_finite() || rate <= 0.0 {
-            return Err(WANT);
+            return Err(EXPECTED);
         }
         Ok(Self(rate))
     }
--- a/src/verdict.rs
+++ b/src/verdict.rs
@@ -1,23 +1,24 @@
-//! Whether a request may have run, said with every answer that is not a backend server's own.
+//! Whether a request may have run, stated with every answer that does not come from a backend
+//! server.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about the run of a request.
+/// Whether a request has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The request ran nowhere and never will under this answer.
+    /// The request did not run anywhere, and will not run after this answer.
     NotRun,
-    /// A backend server may have run it, in part or whole.
+    /// A backend server may have run it, partly or completely.
     MayHaveRun,
-    /// A backend server ran it and said so.
+    /// A backend server ran it and reported so.
     Ran,
 }
 
 impl Verdict {
-    /// Whether a new attempt is safe without knowing if the request is repeatable.
+    /// Reports whether a new attempt is safe even if the request is not repeatable.
     pub fn is_not_run(self) -> bool {
         self == Self::NotRun
     }
@@ -33,7 +34,7 @@
     }
 }
 
-/// The text named none of the three verdicts.
+/// The text is none of the three verdicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unknown;
 
