--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one place.
+//! One attempt to run a request at a backend server or another box.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -34,42 +34,43 @@
     verdict::Verdict,
 };
 
-/// Values by which a header says that its backend server is leaving; any other says nothing.
-const LEAVING: [&[u8]; 2] = [b"1", b"true"];
+/// Values of the leaving header that announce that a backend server is leaving; other values are
+/// ignored.
+const LEAVING_VALUES: [&[u8]; 2] = [b"1", b"true"];
 
-/// A request that was read whole and may be sent more than once.
+/// A request that was read completely and can be sent more than once.
 pub(crate) struct Prepared {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The body's share of the memory for bodies, given back with it.
+    /// The memory reserved for the body, released with it.
     pub(crate) _memory: Option<OwnedSemaphorePermit>,
     pub(crate) span: Span,
-    pub(crate) came: Moment,
-    /// How it came.
+    pub(crate) received_at: Moment,
+    /// The listener that received the request.
     pub(crate) door: Door,
 }
 
-/// An answer that begins.
-pub(crate) struct Found {
+/// A response whose head has arrived and whose body is still to be read.
+pub(crate) struct Upstream {
     pub(crate) response: Response<Incoming>,
     pub(crate) delimiter: Delimiter,
     pub(crate) lease: Lease,
     pub(crate) span: Span,
 }
 
-/// Why an attempt brought no answer that settles the request.
-pub(crate) struct Miss {
-    /// Whether the request may have run there.
+/// The failure of an attempt.
+pub(crate) struct AttemptFailure {
+    /// Whether the request may have run at the target.
     pub(crate) verdict: Verdict,
-    /// Why.
     pub(crate) cause: Cause,
-    /// An error of the backend server, which is the answer if there is no further attempt.
-    pub(crate) answer: Option<Box<Found>>,
+    /// An error response of the backend server; it goes to the caller if there is no further
+    /// attempt.
+    pub(crate) answer: Option<Box<Upstream>>,
 }
 
-impl Miss {
+impl AttemptFailure {
     fn new(verdict: Verdict, cause: Cause) -> Self {
         Self {
             verdict,
@@ -79,13 +80,14 @@
     }
 }
 
-/// Tries a request once; a stream goes on after `last_event`.
+/// Sends a request to one target and reads the head of its response. A resumed stream continues
+/// after `last_event`.
 pub(crate) async fn try_once(
     shell: &Arc<Shell>,
     prepared: &Prepared,
     send: &Send,
     last_event: Option<&str>,
-) -> Result<Found, Miss> {
+) -> Result<Upstream, AttemptFailure> {
     let now = shell.clock.now();
     let label = match send.target {
         Target::Backend { .. } => "backend",
@@ -100,11 +102,11 @@
             .inc()
     };
     if now > send.not_after {
-        // The process stood still between the decision and now.
+        // The process was suspended between the decision and now.
         count("late");
-        return Err(Miss::new(Verdict::NotRun, Cause::Late));
+        return Err(AttemptFailure::new(Verdict::NotRun, Cause::Late));
     }
-    let (address, mut request, span) = outgoing(shell, prepared, send);
+    let (address, mut request, span) = build_request(shell, prepared, send);
     if let Some(last) = last_event {
         let headers = request.headers_mut();
         headers.insert(platform::head::LAST_EVENT, head::value(last));
@@ -124,7 +126,7 @@
             Failure::Unreachable => Cause::Unreachable,
             Failure::Broken => Cause::Broken,
         };
-        Miss::new(failure.verdict(), cause)
+        AttemptFailure::new(failure.verdict(), cause)
     })?;
     span.note("http.response.status_code", response.status().as_u16());
     let sender = match send.target {
@@ -136,23 +138,23 @@
         shell.metrics.relay_gaps.inc();
         let (request, attempt) = (send.request, send.attempt.0);
         log::warn!(
-            "attempt: box_id={request} attempt={attempt} answered by {address} with a broken head"
+            "attempt: box_id={request} attempt={attempt} response head from {address} does not match its checksum"
         );
-        return Err(Miss::new(Verdict::MayHaveRun, Cause::Broken));
+        return Err(AttemptFailure::new(Verdict::MayHaveRun, Cause::Broken));
     }
     let refused = refusal(shell, prepared, &send.target, &response);
     let ran = refused.is_none() && response.status().is_success();
     let not_run = refused.is_some_and(|(verdict, _)| verdict.is_not_run());
-    let turned_away = not_run || response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    if is_answer(shell, prepared, &response) {
+    let rejected = not_run || response.status() == StatusCode::SERVICE_UNAVAILABLE;
+    if concerns_backend(shell, prepared, &response) {
         let headers = response.headers();
-        hear_limit(shell, send, headers, now, ran);
-        hear_departure(shell, send, headers);
-        if turned_away {
-            hear_pushback(shell, send, headers);
+        report_limit(shell, send, headers, now, ran);
+        report_departure(shell, send, headers);
+        if rejected {
+            report_pushback(shell, send, headers);
         }
     }
-    let found = Found {
+    let upstream = Upstream {
         delimiter: Delimiter::of(&response, sender),
         response,
         lease,
@@ -161,26 +163,26 @@
     match refused {
         None => {
             count("answered");
-            Ok(found)
+            Ok(upstream)
         }
         Some((Verdict::Ran, cause)) => {
             count("errored");
-            Err(Miss {
+            Err(AttemptFailure {
                 verdict: Verdict::Ran,
                 cause,
-                answer: Some(Box::new(found)),
+                answer: Some(Box::new(upstream)),
             })
         }
         Some((verdict, cause)) => {
             count("refused");
-            Err(Miss::new(verdict, cause))
+            Err(AttemptFailure::new(verdict, cause))
         }
     }
 }
 
-/// Whether an answer may speak of the backend server itself: one to another request, or for another server, says
-/// nothing of this one.
-fn is_answer(shell: &Shell, prepared: &Prepared, response: &Response<Incoming>) -> bool {
+/// Reports whether the headers of a response concern the backend server that was addressed: a
+/// response to another request, or for another server, says nothing about this one.
+fn concerns_backend(shell: &Shell, prepared: &Prepared, response: &Response<Incoming>) -> bool {
     let (status, headers) = (response.status(), response.headers());
     match shell.settings.interface {
         Interface::Platform => platform::head::is_answer(&prepared.headers, status, headers),
@@ -188,14 +190,14 @@
     }
 }
 
-/// The fields of a header that the configuration or the platform may name.
+/// Returns the values of a header whose name the configuration or the platform may set.
 fn fields<'a>(headers: &'a HeaderMap, name: Option<&String>) -> impl Iterator<Item = &'a [u8]> {
     let fields = name.into_iter().flat_map(|name| headers.get_all(name));
     fields.map(HeaderValue::as_bytes)
 }
 
-/// Tells whether a backend server says that it is leaving.
-fn hear_departure(shell: &Shell, send: &Send, headers: &HeaderMap) {
+/// Reports a backend server that announces in `headers` that it is leaving.
+fn report_departure(shell: &Shell, send: &Send, headers: &HeaderMap) {
     let Target::Backend {
         name,
         headers: names,
@@ -205,8 +207,8 @@
     else {
         return;
     };
-    let yes = |field: &[u8]| LEAVING.contains(&field.trim_ascii());
-    if fields(headers, names.leaving.as_ref()).any(yes) {
+    let announces_leaving = |field: &[u8]| LEAVING_VALUES.contains(&field.trim_ascii());
+    if fields(headers, names.leaving.as_ref()).any(announces_leaving) {
         shell.core.tell(Event::Departing {
             backend: name.clone(),
             incarnation: *incarnation,
@@ -214,8 +216,8 @@
     }
 }
 
-/// Tells how long a backend server that turned a request away wants nothing from this box.
-fn hear_pushback(shell: &Shell, send: &Send, headers: &HeaderMap) {
+/// Reports how long a backend server that rejected a request asks this box to send it nothing.
+fn report_pushback(shell: &Shell, send: &Send, headers: &HeaderMap) {
     let Target::Backend {
         name, incarnation, ..
     } = &send.target
@@ -233,9 +235,10 @@
     }
 }
 
-/// Tells what a backend server says of its limit. An answer that names none says so only where the request
-/// `ran` to a success: refusals and errors may be made before whoever names the limit has seen it.
-fn hear_limit(shell: &Shell, send: &Send, headers: &HeaderMap, sent: Time, ran: bool) {
+/// Reports the rate limit that a backend server announces. The absence of a limit is reported only
+/// if the request `ran` successfully: refusals and errors may be produced before the component that
+/// sets the limit header has seen the request.
+fn report_limit(shell: &Shell, send: &Send, headers: &HeaderMap, sent: Time, ran: bool) {
     let Target::Backend {
         name,
         headers: names,
@@ -256,8 +259,12 @@
     }
 }
 
-/// What an answer on the platform says of the request, where it is not the answer to it.
-fn judge(prepared: &Prepared, response: &Response<Incoming>) -> Option<(Verdict, Cause)> {
+/// Classifies a response on the platform that is not the result of the request; none if it is the
+/// result.
+fn classify_platform_answer(
+    prepared: &Prepared,
+    response: &Response<Incoming>,
+) -> Option<(Verdict, Cause)> {
     let (status, headers) = (response.status(), response.headers());
     let outcome = platform::head::judge(&prepared.headers, status, headers);
     let cause = match outcome {
@@ -270,7 +277,8 @@
     Some((outcome.verdict(), cause))
 }
 
-/// Whether an answer says that the request did not run, or may not have.
+/// Returns the verdict and the cause if a response is not the result of the request; none if it is
+/// the result.
 fn refusal(
     shell: &Shell,
     prepared: &Prepared,
@@ -280,7 +288,7 @@
     let headers = response.headers();
     match target {
         Target::Backend { .. } if shell.settings.interface == Interface::Platform => {
-            judge(prepared, response)
+            classify_platform_answer(prepared, response)
         }
         Target::Backend { headers: names, .. } => {
             let header = names.refusal.as_ref()?;
@@ -296,12 +304,12 @@
             Some(Verdict::NotRun) => Some((Verdict::NotRun, Cause::Refused)),
             Some(Verdict::MayHaveRun) | None => Some((Verdict::MayHaveRun, Cause::Broken)),
         },
-        // The box that owns the key has the last word.
+        // The box that the key names decides; its response is passed on unchanged.
         Target::Pass { .. } => None,
     }
 }
 
-fn outgoing(
+fn build_request(
     shell: &Shell,
     prepared: &Prepared,
     send: &Send,
@@ -309,11 +317,11 @@
     let mut headers = prepared.headers.clone();
     let left = send.not_after.since(shell.clock.now());
     let platform = shell.settings.interface == Interface::Platform;
-    // Customers may have come with a configuration since the request did.
+    // A configuration with customers may have arrived after the request did.
     if shell.has_keys() {
         headers.remove(AUTHORIZATION);
     }
-    let own = |name: &'static str| HeaderName::from_static(name);
+    let header_name = |name: &'static str| HeaderName::from_static(name);
     let (address, name) = match &send.target {
         Target::Backend { address, name, .. } => {
             if platform {
@@ -326,11 +334,11 @@
             (*address, "send to backend server")
         }
         Target::Relay { peer, .. } => {
-            headers.insert(own(head::HOP), head::value(head::HOP_RELAY));
+            headers.insert(header_name(head::HOP), head::value(head::HOP_RELAY));
             (*peer, "relay to region")
         }
         Target::Pass { peer } => {
-            headers.insert(own(head::HOP), head::value(head::HOP_PASS));
+            headers.insert(header_name(head::HOP), head::value(head::HOP_PASS));
             (*peer, "pass to key's box")
         }
     };
@@ -339,12 +347,12 @@
         headers.insert(head::LEFT, head::value(left.0));
     }
     if to_box {
-        headers.insert(own(head::CHECKED), head::value(true));
-        headers.insert(own(head::RUNS), head::value(send.runs));
-        headers.insert(own(head::FROM), head::value(&shell.settings.region));
-        headers.insert(own(head::CUSTOMER), head::value(&send.customer));
+        headers.insert(header_name(head::CHECKED), head::value(true));
+        headers.insert(header_name(head::RUNS), head::value(send.runs));
+        headers.insert(header_name(head::FROM), head::value(&shell.settings.region));
+        headers.insert(header_name(head::CUSTOMER), head::value(&send.customer));
         let secret = shell.settings.cluster_secret.expose();
-        headers.insert(own(head::SECRET), head::value(secret));
+        headers.insert(header_name(head::SECRET), head::value(secret));
     }
     if !platform {
         headers.insert(HOST, head::value(address));
--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones, streams, and the records that go to another box.
+//! Response bodies: complete ones, streams, and bodies framed as records for another box.
 
 use std::{
     pin::Pin,
@@ -11,29 +11,29 @@
 
 use crate::gateway::{
     records::Writer,
-    stream::{Cut, Stream},
+    stream::{Stream, Truncated},
 };
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller or another box.
 pub enum Body {
-    /// All of it is at hand.
+    /// A body that is complete in memory.
     Whole(Option<Bytes>),
-    /// It comes from the place that runs the request.
+    /// A stream from the backend server or box that runs the request.
     Stream(Box<Stream>),
-    /// It comes from a task that also keeps it.
-    Kept(mpsc::Receiver<Result<Bytes, Cut>>),
-    /// It goes to another box.
-    Recorded(Box<Recorded>),
+    /// A stream from a task that also stores the response for re-sends.
+    Buffered(mpsc::Receiver<Result<Bytes, Truncated>>),
+    /// A body framed as records, for another box.
+    Records(Box<RecordBody>),
 }
 
-/// A body in records.
-pub struct Recorded {
+/// Encodes a body as records.
+pub struct RecordBody {
     body: Body,
     writer: Writer,
     ended: bool,
 }
 
-impl Recorded {
+impl RecordBody {
     fn new(body: Body) -> Self {
         Self {
             body,
@@ -42,7 +42,7 @@
         }
     }
 
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Truncated>>> {
         if self.ended {
             return Poll::Ready(None);
         }
@@ -56,32 +56,32 @@
 }
 
 impl Body {
-    /// The same in records, where it comes piece by piece.
+    /// Frames a streamed body as records; a complete body is returned unchanged.
     pub(crate) fn into_records(self) -> Self {
         match self {
-            Self::Stream(_) | Self::Kept(_) => Self::Recorded(Box::new(Recorded::new(self))),
-            Self::Whole(_) | Self::Recorded(_) => self,
+            Self::Stream(_) | Self::Buffered(_) => Self::Records(Box::new(RecordBody::new(self))),
+            Self::Whole(_) | Self::Records(_) => self,
         }
     }
 
-    fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Truncated>>> {
         match self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(Ok)),
             Self::Stream(stream) => stream.poll_next(cx),
-            Self::Kept(receiver) => receiver.poll_recv(cx),
-            Self::Recorded(recorded) => recorded.poll_next(cx),
+            Self::Buffered(receiver) => receiver.poll_recv(cx),
+            Self::Records(recorded) => recorded.poll_next(cx),
         }
     }
 }
 
 impl HttpBody for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let next = ready!(self.poll_bytes(cx));
         Poll::Ready(next.map(|result| result.map(Frame::data)))
     }
@@ -90,7 +90,7 @@
         match self {
             Self::Whole(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
             Self::Whole(None) => SizeHint::with_exact(0),
-            Self::Stream(_) | Self::Kept(_) | Self::Recorded(_) => SizeHint::default(),
+            Self::Stream(_) | Self::Buffered(_) | Self::Records(_) => SizeHint::default(),
         }
     }
 
@@ -98,8 +98,8 @@
         match self {
             Self::Whole(bytes) => bytes.is_none(),
             Self::Stream(stream) => stream.is_done(),
-            Self::Kept(_) => false,
-            Self::Recorded(recorded) => recorded.ended,
+            Self::Buffered(_) => false,
+            Self::Records(recorded) => recorded.ended,
         }
     }
 }
--- a/src/gateway/carry.rs
+++ b/src/gateway/carry.rs
@@ -1,4 +1,5 @@
-//! Runs whose memory moves: the calls to engines, and the streams of runs that are being stopped.
+//! Moves runs and their KV cache between engines: the calls to engines, and the streams of runs
+//! that are being stopped.
 
 use std::{
     pin::Pin,
@@ -22,45 +23,46 @@
     },
 };
 
-/// How long the rest of a stream is waited for whose run is stopped: it was made before the engine
-/// said so, and is on its way.
-const REST: Duration = Duration::from_millis(100);
+/// How long the remaining bytes of a stream are awaited after its engine reported the run as
+/// stopped. They were produced before that report and are still in transit.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How far a stream is on its way from an engine whose run is to be stopped.
+/// Progress of stopping a stream's run on its engine before the run moves to another one.
 #[derive(Default)]
-pub(crate) enum Stop {
-    /// Nobody stops it.
+pub(crate) enum StopState {
+    /// No stop was requested.
     #[default]
-    Not,
-    /// The engine is asked to stop it.
-    Asked,
-    /// It has stopped: what it made before still comes, until then, and the order says where it goes on.
-    Over(Box<Send>, Pin<Box<Sleep>>),
+    NotRequested,
+    /// The engine was asked to stop the run.
+    Requested,
+    /// The run has stopped. Holds the order for the next attempt, and the timer until which bytes
+    /// that were produced before the stop are still passed on.
+    Stopped(Box<Send>, Pin<Box<Sleep>>),
 }
 
-impl Stop {
-    /// Whether the engine was asked to stop the run.
-    pub(crate) fn is_asked(&self) -> bool {
-        !matches!(self, Self::Not)
+impl StopState {
+    /// Reports whether a stop was requested, including one that is complete.
+    pub(crate) fn is_requested(&self) -> bool {
+        !matches!(self, Self::NotRequested)
     }
 
-    /// Whether the run has stopped.
-    pub(crate) fn is_over(&self) -> bool {
-        matches!(self, Self::Over(..))
+    /// Reports whether the run has stopped.
+    pub(crate) fn is_stopped(&self) -> bool {
+        matches!(self, Self::Stopped(..))
     }
 
-    /// Ready when the rest is waited for no longer.
-    pub(crate) fn poll_over(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Completes when the time for bytes still in transit is over.
+    pub(crate) fn poll_drained(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         match self {
-            Self::Over(_, rest) => rest.as_mut().poll(cx),
-            Self::Not | Self::Asked => Poll::Ready(()),
+            Self::Stopped(_, drain) => drain.as_mut().poll(cx),
+            Self::NotRequested | Self::Requested => Poll::Ready(()),
         }
     }
 
-    /// Takes out the order that says where it goes on.
+    /// Takes the order for the next attempt, if the run has stopped.
     pub(crate) fn take_order(&mut self) -> Option<Box<Send>> {
         match std::mem::take(self) {
-            Self::Over(send, _) => Some(send),
+            Self::Stopped(send, _) => Some(send),
             other => {
                 *self = other;
                 None
@@ -70,36 +72,36 @@
 }
 
 impl Stream {
-    /// Whether its engine was asked to stop its run.
-    pub(super) fn is_stopping(&self) -> bool {
+    /// Reports whether the engine was asked to stop this stream's run.
+    pub(super) fn is_stop_requested(&self) -> bool {
         let resume = self.resume.as_ref();
-        resume.is_some_and(|resume| resume.stop.is_asked())
+        resume.is_some_and(|resume| resume.stop.is_requested())
     }
 
-    /// Whether its run is stopped, and only the rest of what it made comes.
-    pub(super) fn is_leaving(&self) -> bool {
+    /// Reports whether the run has stopped and only bytes still in transit are expected.
+    pub(super) fn is_draining(&self) -> bool {
         let resume = self.resume.as_ref();
-        resume.is_some_and(|resume| resume.stop.is_over())
+        resume.is_some_and(|resume| resume.stop.is_stopped())
     }
 
-    /// Takes in that its run is to be stopped, or has been and goes on elsewhere; false where it
-    /// cannot go on.
-    pub(super) fn stop(&mut self, order: Order) -> bool {
+    /// Handles an order that announces the stop of the run, or that follows a completed stop and
+    /// names the next attempt. Returns false if the stream cannot be resumed.
+    pub(super) fn handle_stop_order(&mut self, order: Order) -> bool {
         let Some(resume) = &mut self.resume else {
             return false;
         };
         match order {
-            Order::Stopping => resume.stop = Stop::Asked,
+            Order::Stopping => resume.stop = StopState::Requested,
             Order::Send(send) if send.continues.is_some() => {
-                resume.stop = Stop::Over(send, Box::pin(sleep(REST)));
+                resume.stop = StopState::Stopped(send, Box::pin(sleep(DRAIN_TIMEOUT)));
             }
             _ => return false,
         }
         true
     }
 
-    /// Sets off to where it goes on, where that is known by now.
-    pub(super) fn set_off(&mut self) -> bool {
+    /// Starts the next attempt, if its order has arrived; returns whether it did.
+    pub(super) fn start_next_attempt(&mut self) -> bool {
         let Some(resume) = &mut self.resume else {
             return false;
         };
@@ -111,8 +113,9 @@
         true
     }
 
-    /// Ends whole; returns what came after the last whole event. Where the order to go on crossed
-    /// the end, the answer ends under the number of that attempt.
+    /// Ends the stream as complete and returns the bytes after its last complete event. If the
+    /// order for the next attempt arrived before this end was handled, the end is reported under
+    /// the number of that attempt.
     pub(super) fn finish(&mut self) -> Option<Bytes> {
         let order = self.resume.as_mut().and_then(|r| r.stop.take_order());
         if let Some(send) = order {
@@ -125,7 +128,7 @@
 }
 
 impl Core {
-    /// Asks an engine to move a run.
+    /// Asks an engine to move a run to another engine, and reports the result to the reducer.
     pub(super) fn move_run(&self, order: Move) {
         let Some(handle) = self.handle.clone() else {
             return;
@@ -144,7 +147,8 @@
             } = order;
             let result = match tag {
                 Some(run) => engine::move_run(&pool, from.address, &run, to.address, last).await,
-                // Engines know a run by the name that its caller gave it.
+                // Engines identify a run by its caller's request id; a run without one cannot be
+                // moved.
                 None => Moved::Refused,
             };
             log::debug!(
@@ -160,15 +164,13 @@
         });
     }
 
-    /// Frees a copy that nobody goes on with.
+    /// Frees the copy of a moved run that is not going to be resumed.
     pub(super) fn free_copy(&self, origin: Origin) {
         let pool = self.parts.pool.clone();
         tokio::spawn(async move {
             if let Err(error) = engine::free(&pool, &origin).await {
                 let Origin { address, handle } = origin;
-                log::warn!(
-                    "move: the copy {handle} of {address} is not freed, and lapses: {error}"
-                );
+                log::warn!("move: cannot free copy {handle} on {address}, it will expire: {error}");
             }
         });
     }
--- a/src/gateway/checksum.rs
+++ b/src/gateway/checksum.rs
@@ -1,4 +1,4 @@
-//! A check of the head of an answer between boxes.
+//! Checksum of the head of a response between boxes.
 
 use std::{fmt, str::FromStr};
 
@@ -10,33 +10,33 @@
 
 use crate::gateway::head;
 
-/// Headers that the HTTP library sets or changes after the check was made.
-const LEFT_OUT: [HeaderName; 3] = [CONNECTION, DATE, TRANSFER_ENCODING];
+/// Headers that the HTTP library sets or changes after the checksum was computed.
+const EXCLUDED_HEADERS: [HeaderName; 3] = [CONNECTION, DATE, TRANSFER_ENCODING];
 
-/// A check of a status and of all headers, in whatever order they come.
+/// A checksum of the status and the headers of a response, independent of the order of the headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checksum(u64);
 
 impl Checksum {
-    /// The check of this head.
+    /// Computes the checksum of a head.
     pub fn of(status: StatusCode, headers: &HeaderMap) -> Self {
-        let counted = |name: &HeaderName| *name != head::CHECK && !LEFT_OUT.contains(name);
+        let counted = |name: &HeaderName| *name != head::CHECK && !EXCLUDED_HEADERS.contains(name);
         let fields = headers.iter().filter(|(name, _)| counted(name));
         let sum = fields.fold(u64::from(status.as_u16()), |sum, (name, value)| {
-            sum.wrapping_add(field(name, value))
+            sum.wrapping_add(hash_field(name, value))
         });
         Self(sum)
     }
 
-    /// Whether the head of `response` came as it was sent.
+    /// Reports whether the head of `response` matches the checksum that it carries.
     pub fn holds<B>(response: &Response<B>) -> bool {
         let headers = response.headers();
-        let told = headers.get(head::CHECK).and_then(|v| v.to_str().ok());
-        let told = told.and_then(|told| told.parse().ok());
-        told == Some(Self::of(response.status(), headers))
+        let received = headers.get(head::CHECK).and_then(|v| v.to_str().ok());
+        let received = received.and_then(|received| received.parse().ok());
+        received == Some(Self::of(response.status(), headers))
     }
 
-    /// Adds the check to `response`, and the length of its body where that is known.
+    /// Adds the checksum to `response`, and a `Content-Length` if the length of its body is known.
     pub fn add<B: hyper::body::Body>(response: &mut Response<B>) {
         if let Some(length) = response.body().size_hint().exact() {
             let length = HeaderValue::from(length);
@@ -49,7 +49,7 @@
     }
 }
 
-fn field(name: &HeaderName, value: &HeaderValue) -> u64 {
+fn hash_field(name: &HeaderName, value: &HeaderValue) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(name.as_str().as_bytes());
     hash.update(b":");
--- a/src/gateway/delimiter.rs
+++ b/src/gateway/delimiter.rs
@@ -1,4 +1,4 @@
-//! What marks the end of an answer's body.
+//! How the end of a response body is recognized.
 
 use std::fmt;
 
@@ -17,20 +17,20 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What marks the end of a body (RFC 9112, section 6.3).
+/// How the end of a body is marked (RFC 9112, section 6.3).
 #[derive(Debug)]
 pub(crate) enum Delimiter {
-    /// A length or a last chunk; the HTTP library tells a cut from the end.
+    /// A `Content-Length` or a last chunk; the HTTP library reports truncation.
     Framed,
     /// The close of the connection.
     Close,
-    /// The close of the connection, behind a stream of events.
+    /// The close of the connection, after a stream of events.
     Events(Scanner),
-    /// The last record of another box.
+    /// The end record of a body from another box.
     Records(Reader),
 }
 
-/// Who answers.
+/// The kind of peer that sends a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Sender {
     Backend,
@@ -38,7 +38,7 @@
 }
 
 impl Delimiter {
-    /// What `response` announces.
+    /// Determines the delimiter from the head of `response`.
     pub(crate) fn of<B: Body>(response: &Response<B>, sender: Sender) -> Self {
         let headers = response.headers();
         if sender == Sender::Box && headers.contains_key(head::RECORDS) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What of the next bytes is of the answer and may be passed on.
+    /// Reads the next bytes and returns the part that belongs to the body and may be forwarded.
     pub(crate) fn read(&mut self, bytes: Bytes) -> Result<Bytes, Gap> {
         match self {
             Self::Framed | Self::Close => Ok(bytes),
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Whether a body that ends here without an error is whole. A reset is such an error, as is an
-    /// end before the length or the last chunk.
+    /// Reports whether a body that ends here without a transport error is complete. A reset is such
+    /// an error, as is an end before the announced length or the last chunk.
     pub(crate) fn is_whole(&self) -> bool {
         match self {
             Self::Framed | Self::Close => true,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the body ends with its connection.
+    /// Reports whether the body ends with its connection.
     pub(crate) fn is_close(&self) -> bool {
         matches!(self, Self::Close | Self::Events(_))
     }
--- a/src/gateway/dial.rs
+++ b/src/gateway/dial.rs
@@ -1,4 +1,5 @@
-//! Connections to backend servers, boxes and the platform, and what a failure says of the request.
+//! Client connections to backend servers, boxes and the platform, and whether a failed request may
+//! have run.
 
 use std::{
     collections::HashMap,
@@ -21,18 +22,19 @@
 
 use crate::{gateway::clock::Moment, platform, verdict::Verdict};
 
-/// How long a connection may take to open.
+/// Network distance of a peer, which sets the timeout for opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// Inside a region it takes a few milliseconds, and a machine that is gone says nothing. A lost
-    /// opening packet is sent again only after a second: it is better to go elsewhere.
+    /// A peer in the same region. A connection opens within a few milliseconds, while a machine
+    /// that is down does not answer at all. A lost SYN is retransmitted only after a second, so
+    /// trying another peer is faster than waiting.
     Near,
-    /// Three times the longest way to another region and back.
+    /// A peer in another region; the timeout is three times the longest round trip between regions.
     Far,
 }
 
 impl Distance {
-    fn patience(self) -> Duration {
+    fn connect_timeout(self) -> Duration {
         match self {
             Self::Near => Duration::from_millis(150),
             Self::Far => Duration::from_millis(400),
@@ -40,37 +42,38 @@
     }
 }
 
-/// A peer that does not acknowledge what was written for this long is gone: several times the
-/// longest round trip, so that a lost packet is sent again in time.
+/// Time without an acknowledgement of sent data after which a peer counts as unreachable: several
+/// times the longest round trip, so that a lost packet can be retransmitted.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A silent peer is asked whether it is there after this long, and as often again.
-const PROBE: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a peer is gone.
-const PROBES: u32 = 2;
-/// An idle connection is left this long before its other side closes it.
+/// Idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a peer counts as unreachable.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Idle connections are dropped this long before the peer's own idle timeout closes them.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// How long an idle connection is used where the other side does not say.
-const IDLE: Duration = Duration::from_secs(30);
-/// How much later an open port is looked at again: without it 12 servers that close their ports 40 ms after
-/// their connections ended in place of 3, in a test of six deadly requests; a server takes a second and more to
-/// start again.
-const KNOCK_AGAIN: Duration = Duration::from_millis(100);
-/// Idle connections kept for one address.
-const MAX_IDLE: usize = 16;
+/// Idle timeout of connections whose peer announces none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before a port that was found open is checked again. Without the second check, 12 servers
+/// instead of 3 crashed in a test of six crashing requests whose servers closed their ports 40 ms
+/// after their connections. A crashed server takes at least a second to start again, so its port is
+/// still closed at the second check.
+const RECHECK_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why there is no answer.
+/// The reason why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection: nothing was written.
+    /// No connection was opened, and nothing was sent.
     Unreachable,
-    /// The connection broke after something may have been written.
+    /// The connection broke after some of the request may have been sent.
     Broken,
 }
 
 impl Failure {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn verdict(self) -> Verdict {
         match self {
             Self::Unreachable => Verdict::NotRun,
@@ -79,108 +82,119 @@
     }
 }
 
-struct Link {
+struct PooledConnection {
     sender: Sender,
     task: JoinHandle<()>,
-    /// When it is not used any more.
+    /// When it may no longer be reused.
     expires: Moment,
 }
 
-impl Drop for Link {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Idle connections by address.
+/// A pool of idle connections by address.
 #[derive(Default)]
 pub struct Pool {
-    idle: Mutex<HashMap<SocketAddr, Vec<Link>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<PooledConnection>>>,
 }
 
-/// Holds the connection of an answer; dropped before [`Lease::give_back`], it closes it.
+/// The connection that carries a response. Dropping it closes the connection, [`Lease::give_back`]
+/// returns it to the pool.
 pub struct Lease {
     pool: Arc<Pool>,
     address: SocketAddr,
-    link: Link,
+    connection: PooledConnection,
     idle: Duration,
 }
 
 impl Lease {
-    /// Keeps the connection for another request; the answer's body was read to its end.
+    /// Returns the connection to the pool; the response body must have been read to its end.
     pub fn give_back(self) {
         let Self {
             pool,
             address,
-            mut link,
+            mut connection,
             idle,
         } = self;
         let now = Moment::now();
-        link.expires = now + idle;
+        connection.expires = now + idle;
         let mut pools = pool.idle.lock().expect("the pool's lock is never poisoned");
-        let links = pools.entry(address).or_default();
-        links.retain(|l| !l.sender.is_closed() && l.expires > now);
-        if links.len() < MAX_IDLE && !link.sender.is_closed() && !idle.is_zero() {
-            links.push(link);
+        let connections = pools.entry(address).or_default();
+        connections.retain(|l| !l.sender.is_closed() && l.expires > now);
+        if connections.len() < MAX_IDLE_PER_ADDRESS
+            && !connection.sender.is_closed()
+            && !idle.is_zero()
+        {
+            connections.push(connection);
         }
     }
 }
 
-/// Whether nothing listens at `address`: a machine that stays silent tells nothing either way.
+/// Reports whether `address` refuses connections; a timeout counts as not closed, because it proves
+/// nothing either way.
 ///
-/// A process that ends may close its port after its connections, so an open one is looked at again.
+/// A process that exits may close its port later than its connections, so an open port is checked a
+/// second time.
 pub(crate) async fn is_closed(address: SocketAddr) -> bool {
-    if refuses(address).await {
+    if refuses_connection(address).await {
         return true;
     }
-    sleep(KNOCK_AGAIN).await;
-    refuses(address).await
+    sleep(RECHECK_DELAY).await;
+    refuses_connection(address).await
 }
 
-async fn refuses(address: SocketAddr) -> bool {
-    let dialled = timeout(Distance::Near.patience(), TcpStream::connect(address)).await;
+async fn refuses_connection(address: SocketAddr) -> bool {
+    let connected = timeout(
+        Distance::Near.connect_timeout(),
+        TcpStream::connect(address),
+    )
+    .await;
     let closed = [ErrorKind::ConnectionRefused, ErrorKind::ConnectionReset];
-    matches!(dialled, Ok(Err(error)) if closed.contains(&error.kind()))
+    matches!(connected, Ok(Err(error)) if closed.contains(&error.kind()))
 }
 
-async fn connect(address: SocketAddr, distance: Distance) -> Result<Link, Failure> {
-    let dialled = timeout(distance.patience(), TcpStream::connect(address)).await;
-    let stream = match dialled {
+async fn connect(address: SocketAddr, distance: Distance) -> Result<PooledConnection, Failure> {
+    let connected = timeout(distance.connect_timeout(), TcpStream::connect(address)).await;
+    let stream = match connected {
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) | Err(_) => return Err(Failure::Unreachable),
     };
     if let Err(error) = tune(&stream) {
         log::debug!("dial: {address}: {error}");
     }
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = shaken.map_err(|_| Failure::Unreachable)?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = handshake.map_err(|_| Failure::Unreachable)?;
     let task = tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::trace!("dial: {address}: {error}");
         }
     });
-    Ok(Link {
+    Ok(PooledConnection {
         sender,
         task,
         expires: Moment::now(),
     })
 }
 
-/// Small writes go out at once, and a peer that is gone is noticed.
+/// Disables Nagle's algorithm, and enables keepalive probes and the acknowledgement timeout, so
+/// that the loss of a peer is detected.
 pub(crate) fn tune(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
     socket.set_tcp_user_timeout(Some(ACKNOWLEDGE_TIMEOUT))
 }
 
 impl Pool {
-    /// Sends `request` to `address`; a `fresh` one gets a connection of its own, so that a
-    /// connection closed while idle cannot leave its fate unknown.
+    /// Sends `request` to `address`. With `fresh` it gets a new connection: on a pooled one that
+    /// the peer closes while it is idle, whether the request ran would be unknown.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -188,22 +202,22 @@
         fresh: bool,
         distance: Distance,
     ) -> Result<(Response<Incoming>, Lease), Failure> {
-        while let Some(mut link) = self.idle_link(address, fresh) {
-            if link.sender.ready().await.is_err() {
+        while let Some(mut connection) = self.idle_connection(address, fresh) {
+            if connection.sender.ready().await.is_err() {
                 continue;
             }
-            match link.sender.try_send_request(request).await {
-                Ok(response) => return Ok(self.lease(address, link, response)),
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok(self.lease(address, connection, response)),
                 Err(mut error) => match error.take_message() {
-                    // Handed back unwritten.
+                    // hyper returned the request without having written it.
                     Some(unsent) => request = unsent,
                     None => return Err(Failure::Broken),
                 },
             }
         }
-        let mut link = connect(address, distance).await?;
-        match link.sender.try_send_request(request).await {
-            Ok(response) => Ok(self.lease(address, link, response)),
+        let mut connection = connect(address, distance).await?;
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok(self.lease(address, connection, response)),
             Err(mut error) => Err(match error.take_message() {
                 Some(_) => Failure::Unreachable,
                 None => Failure::Broken,
@@ -214,36 +228,39 @@
     fn lease(
         self: &Arc<Self>,
         address: SocketAddr,
-        link: Link,
+        connection: PooledConnection,
         response: Response<Incoming>,
     ) -> (Response<Incoming>, Lease) {
-        let told = platform::head::keep_alive(response.headers());
-        let idle = told.map_or(IDLE, |told| told.saturating_sub(IDLE_MARGIN));
+        let advertised = platform::head::keep_alive(response.headers());
+        let idle = advertised.map_or(DEFAULT_IDLE_TIMEOUT, |advertised| {
+            advertised.saturating_sub(IDLE_MARGIN)
+        });
         let lease = Lease {
             pool: self.clone(),
             address,
-            link,
+            connection,
             idle,
         };
         (response, lease)
     }
 
-    /// Closes the idle connections to `address`: what were written there might never be answered.
+    /// Closes the idle connections to `address`, because requests sent on them might never be
+    /// answered.
     pub fn close_idle(&self, address: SocketAddr) {
         let mut idle = self.idle.lock().expect("the pool's lock is never poisoned");
         idle.remove(&address);
     }
 
-    fn idle_link(&self, address: SocketAddr, fresh: bool) -> Option<Link> {
+    fn idle_connection(&self, address: SocketAddr, fresh: bool) -> Option<PooledConnection> {
         if fresh {
             return None;
         }
         let mut idle = self.idle.lock().expect("the pool's lock is never poisoned");
-        let links = idle.get_mut(&address)?;
+        let connections = idle.get_mut(&address)?;
         let now = Moment::now();
-        while let Some(link) = links.pop() {
-            if link.expires > now && !link.sender.is_closed() {
-                return Some(link);
+        while let Some(connection) = connections.pop() {
+            if connection.expires > now && !connection.sender.is_closed() {
+                return Some(connection);
             }
         }
         None
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,11 +1,12 @@
-//! Streams of events: where each event ends, and which of them may be passed on.
+//! Server-sent events: finds the end of each event and decides which bytes may be forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is gathered; a longer one passes as it comes and cannot be resumed.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size of a buffered event; a longer one is forwarded as it arrives and cannot be resumed
+/// until it ends.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// What stands on the line that has not ended yet.
+/// Content of the current, unfinished line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Line {
     #[default]
@@ -14,29 +15,29 @@
     Field,
 }
 
-/// Follows the bytes of a stream of events, in whatever pieces they come.
+/// Scans a stream of events that arrives in chunks of any size.
 ///
 /// Lines end with LF, CR or CRLF, and an empty line ends an event.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
     line: Line,
-    /// Whether a field stands before this line since the last empty one.
-    open: bool,
+    /// Whether a field was read since the last empty line.
+    in_event: bool,
     /// Whether the last byte was a CR.
     after_cr: bool,
-    /// Whether some line ended with CRLF.
+    /// Whether any line so far ended with CRLF.
     crlf: bool,
     events: u64,
 }
 
 impl Scanner {
-    /// Takes the next bytes; returns where the last empty line among them ends.
+    /// Scans the next bytes and returns the position after the last empty line among them.
     pub fn push(&mut self, bytes: &[u8]) -> Option<usize> {
         let mut end = None;
         for (at, &byte) in bytes.iter().enumerate() {
             if std::mem::take(&mut self.after_cr) && byte == b'\n' {
                 self.crlf = true;
-                if !self.open {
+                if !self.in_event {
                     end = Some(at + 1);
                 }
                 continue;
@@ -61,48 +62,50 @@
         }
     }
 
-    /// Ends the line; returns whether it was empty.
+    /// Ends the current line and returns whether it was empty.
     fn end_line(&mut self) -> bool {
         let line = std::mem::take(&mut self.line);
         match line {
-            Line::Empty => self.events += u64::from(std::mem::take(&mut self.open)),
+            Line::Empty => self.events += u64::from(std::mem::take(&mut self.in_event)),
             Line::Comment => {}
-            Line::Field => self.open = true,
+            Line::Field => self.in_event = true,
         }
         line == Line::Empty
     }
 
-    /// Whether the stream stands inside an event or a line.
+    /// Reports whether the stream is inside an event or a line. After a CR in a stream that uses
+    /// CRLF, the LF is still expected.
     pub fn is_inside(&self) -> bool {
         let half_line_end = self.after_cr && self.crlf;
-        self.open || self.line != Line::Empty || half_line_end
+        self.in_event || self.line != Line::Empty || half_line_end
     }
 
-    /// Whether a stream whose connection closes here has come to its end. One that brought no event
-    /// has not.
+    /// Reports whether a stream whose connection closes here is complete; a stream without any
+    /// event is not.
     pub fn is_whole(&self) -> bool {
         self.events > 0 && !self.is_inside()
     }
 
-    /// Events that have ended.
+    /// Returns the number of complete events.
     pub fn events(&self) -> u64 {
         self.events
     }
 }
 
-/// Passes on whole events only, so that a cut never leaves half of one with the caller.
+/// Buffers a stream so that only complete events are forwarded, and a cut never leaves the caller
+/// with part of one.
 #[derive(Debug, Default)]
 pub struct Events {
     scanner: Scanner,
     partial: BytesMut,
     last: Option<String>,
-    /// Whether a part of an event was passed on, and the id that it told.
+    /// Whether part of an event too long to buffer was forwarded, and the last id in that part.
     split: bool,
     split_id: Option<String>,
 }
 
 impl Events {
-    /// Takes bytes of the stream and returns those that end an event, with what came before.
+    /// Adds bytes of the stream, and returns the bytes up to the end of the last complete event.
     pub fn push(&mut self, bytes: Bytes) -> Bytes {
         let end = self.scanner.push(&bytes);
         let whole = match end {
@@ -110,7 +113,7 @@
             end => {
                 self.partial.extend_from_slice(&bytes);
                 let after = bytes.len() - end.unwrap_or(0);
-                self.split_partial(end.map(|_| self.partial.len() - after))
+                self.take_partial(end.map(|_| self.partial.len() - after))
             }
         };
         if end.is_some() {
@@ -124,40 +127,41 @@
         whole
     }
 
-    /// Whether a part of an event was passed on whose rest is still to come: no other server can bring
-    /// that.
+    /// Reports whether part of an event was forwarded whose remainder is still to come; no other
+    /// server can supply that.
     pub fn is_split(&self) -> bool {
         self.split
     }
 
-    /// Takes out what ends at `end`, or all of an event that grows too long.
-    fn split_partial(&mut self, end: Option<usize>) -> Bytes {
+    /// Removes the buffered bytes before `end`, or the whole buffer if the event exceeds
+    /// [`MAX_EVENT_BYTES`].
+    fn take_partial(&mut self, end: Option<usize>) -> Bytes {
         let part = match end {
             Some(end) => self.partial.split_to(end),
-            None if self.partial.len() > MAX_EVENT => self.partial.split(),
+            None if self.partial.len() > MAX_EVENT_BYTES => self.partial.split(),
             None => BytesMut::new(),
         };
         part.freeze()
     }
 
-    /// What came after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn rest(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Forgets the half of an event that a cut left.
+    /// Discards the partial event that a cut left in the buffer.
     pub fn forget_partial(&mut self) {
         self.partial.clear();
         self.scanner = Scanner::default();
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last complete event that has one.
     pub fn last(&self) -> Option<&str> {
         self.last.as_deref()
     }
 }
 
-/// The id that the last event of `bytes` tells.
+/// Returns the last event id in `bytes`.
 fn last_id(bytes: &[u8]) -> Option<String> {
     let mut lines = bytes.rsplit(|byte| matches!(byte, b'\r' | b'\n'));
     let line = lines.find(|line| line.starts_with(b"id:"))?;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer: reads it, follows the reducer's orders, streams the answer back.
+//! Handles one request: reads it, carries out the reducer's orders and streams the response back.
 
 use std::{future::poll_fn, sync::Arc, time::Duration};
 
@@ -16,16 +16,16 @@
     config::KeyHash,
     gateway::{
         Shell, ask,
-        attempt::{Found, Miss, Prepared, try_once},
+        attempt::{AttemptFailure, Prepared, Upstream, try_once},
         body::Body,
         checksum::Checksum,
         clock::Moment,
         core::{Handle, Order},
         head, pack,
         read::{self, deny},
-        replay::{Answer, MAX_ANSWER},
+        replay::{Answer, MAX_ANSWER_BYTES},
         resume::Resume,
-        stream::{Cut, Piece, STALL, Source, Stream},
+        stream::{Piece, STALL_TIMEOUT, Source, Stream, Truncated},
         trace::Span,
     },
     id, platform,
@@ -37,40 +37,40 @@
     verdict::Verdict,
 };
 
-/// How much of a refused body is read, and for how long.
+/// Limits on the bytes of a refused body that are read, and on the time for that.
 const DISCARD_BYTES: usize = 16 << 20;
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pieces of an answer that wait for a slow caller.
-const BACKLOG: usize = 8;
+/// Maximum number of response pieces queued for a slow caller.
+const ANSWER_QUEUE_PIECES: usize = 8;
 
-/// Which listener a request came by.
+/// The listener that received a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Door {
     Public,
     Peer,
 }
 
-/// A request as it comes; what is left of its body is discarded after the answer.
+/// A received request; the unread part of its body is discarded after the response.
 struct Inbound {
     parts: Parts,
     body: Incoming,
 }
 
-/// Reads on for a while after a request was refused: a connection that is closed while its sender
-/// still writes is reset, and the answer is lost with it.
+/// Reads the rest of a refused request's body. Closing a connection while its peer still writes
+/// resets it, and the response would be lost.
 async fn discard(body: Incoming) {
     let rest = Limited::new(body, DISCARD_BYTES).collect();
     let _ = timeout(DISCARD_TIMEOUT, rest).await;
 }
 
-/// Tells the reducer when the one who sent the request goes away before the answer.
-struct Guard {
+/// Notifies the reducer if the sender of a request disconnects before the response.
+struct DisconnectGuard {
     core: Handle,
     request: id::Request,
     armed: bool,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.armed {
             self.core.tell(Event::Gone(self.request));
@@ -92,14 +92,15 @@
     let (parts, body) = request.into_parts();
     let mut incoming = Inbound { parts, body };
     let result = match door {
-        Door::Public => public(&shell, &mut incoming, &span).await,
-        Door::Peer => peer(&shell, &mut incoming, &span).await,
+        Door::Public => serve_public(&shell, &mut incoming, &span).await,
+        Door::Peer => serve_peer(&shell, &mut incoming, &span).await,
     };
     if !incoming.body.is_end_stream() {
         tokio::spawn(discard(incoming.body));
     }
     let mut response = result.unwrap_or_else(|reply| {
-        // Refused before the reducer saw it: earlier sends of its key may have run.
+        // The request was refused before it reached the reducer: an earlier request with the same
+        // key may have run.
         let headers = &incoming.parts.headers;
         let relayed = headers
             .get(head::HOP)
@@ -115,7 +116,7 @@
     span.note("http.response.status_code", response.status().as_u16());
     let checked = door == Door::Peer && incoming.parts.headers.contains_key(head::CHECKED);
     if checked {
-        response = head::recorded(response, &incoming.parts.method);
+        response = head::with_records(response, &incoming.parts.method);
     }
     let headers = response.headers_mut();
     if shell.settings.interface == Interface::Own {
@@ -145,7 +146,7 @@
     head::problem(reply, prefix.as_deref(), shell.settings.interface)
 }
 
-async fn public(
+async fn serve_public(
     shell: &Arc<Shell>,
     inbound: &mut Inbound,
     span: &Span,
@@ -169,7 +170,7 @@
     forward(shell, inbound, credential, Hop::Direct, span).await
 }
 
-async fn peer(
+async fn serve_peer(
     shell: &Arc<Shell>,
     inbound: &mut Inbound,
     span: &Span,
@@ -205,7 +206,7 @@
     forward(shell, inbound, Credential::Vouched(customer), hop, span).await
 }
 
-/// Reads a request, brings it to the reducer and follows its orders.
+/// Reads a request, submits it to the reducer and carries out the reducer's orders.
 async fn forward(
     shell: &Arc<Shell>,
     inbound: &mut Inbound,
@@ -213,7 +214,7 @@
     hop: Hop,
     span: &Span,
 ) -> Result<Response<Body>, Reply> {
-    let came = Moment::now();
+    let received_at = Moment::now();
     let label = match hop {
         Hop::Direct => "direct",
         Hop::Relay(_) => "relay",
@@ -236,93 +237,93 @@
         .cloned()
         .map_or(Uri::from_static("/"), Uri::from);
     let headers = &parts.headers;
-    let told = read::read_told(shell, parts, &uri, &body, door)?;
+    let attributes = read::read_attributes(shell, parts, &uri, &body, door)?;
     let id = shell.next_request();
     span.note("request", id);
     let arrival = Arrival {
         request: id,
-        tag: head::tag(headers),
+        tag: head::caller_request_id(headers),
         credential,
         host: head::host(headers),
         path,
-        model: told.routing.model,
-        prefix: told.routing.prefix,
-        prompt: told.prompt,
-        content: told.content,
+        model: attributes.routing.model,
+        prefix: attributes.routing.prefix,
+        prompt: attributes.prompt,
+        content: attributes.content,
         draw: rand::random(),
         runs: (door == Door::Peer).then(|| head::runs(headers)).flatten(),
-        key: told.key,
-        left: told.left,
+        key: attributes.key,
+        left: attributes.time_left,
         hop,
     };
     let detached = matches!(arrival.key, Key::Good(_));
     let prepared = Arc::new(Prepared {
         method: parts.method.clone(),
         uri,
-        headers: head::request(parts.headers.clone(), shell.settings.interface),
+        headers: head::forwarded_request(parts.headers.clone(), shell.settings.interface),
         body,
         _memory: memory,
         span: span.clone(),
         door,
-        came,
+        received_at,
     });
-    let mut guard = Guard {
+    let mut guard = DisconnectGuard {
         core: shell.core.clone(),
         request: id,
         armed: true,
     };
     let orders = shell.core.open(Event::Arrived(arrival));
-    let driven = if detached {
-        // The request goes on when its caller goes away, so that a re-send finds its answer.
+    let result = if detached {
+        // The request continues after its caller disconnects, so that a re-send finds its response.
         let task = tokio::spawn(drive(shell.clone(), prepared, id, orders));
-        task.await.unwrap_or_else(|_| Err(lost()))
+        task.await.unwrap_or_else(|_| Err(task_failed()))
     } else {
         drive(shell.clone(), prepared, id, orders).await
     };
     guard.armed = false;
-    Ok(driven.unwrap_or_else(|reply| answer_reply(shell, &reply)))
+    Ok(result.unwrap_or_else(|reply| answer_reply(shell, &reply)))
 }
 
-/// The task of a request broke; nothing is known of its run.
-fn lost() -> Reply {
+/// Builds the reply for a request whose task failed; whether the request ran is unknown.
+fn task_failed() -> Reply {
     Reply::new(500, Verdict::MayHaveRun, "the box lost the request")
 }
 
-/// Follows the reducer's orders until the answer begins.
+/// Carries out the reducer's orders until a response begins.
 async fn drive(
     shell: Arc<Shell>,
     prepared: Arc<Prepared>,
     request: id::Request,
     mut orders: mpsc::UnboundedReceiver<Order>,
 ) -> Result<Response<Body>, Reply> {
-    // An error of a backend server is the answer where nothing better comes.
-    let mut error: Option<(Send, Box<Found>)> = None;
+    // The last error response of a backend server, returned if no attempt succeeds.
+    let mut error: Option<(Send, Box<Upstream>)> = None;
     loop {
         let Some(order) = orders.recv().await else {
-            return Err(lost());
+            return Err(task_failed());
         };
         let send = match order {
             Order::Send(send) => *send,
             Order::Abort | Order::Leave | Order::Stopping | Order::Close => continue,
             Order::Reply(reply) => {
-                let (send, found) = error.ok_or(reply)?;
-                return Ok(stream(&shell, &prepared, &send, *found, orders));
+                let (send, upstream) = error.ok_or(reply)?;
+                return Ok(build_response(&shell, &prepared, &send, *upstream, orders));
             }
-            Order::Replay(answer) => return replayed(&shell, answer),
-            Order::Boxes(_) => return Err(lost()),
+            Order::Replay(answer) => return replay_response(&shell, answer),
+            Order::Boxes(_) => return Err(task_failed()),
         };
         let attempt = send.attempt;
         tokio::select! {
             biased;
-            tried = try_once(&shell, &prepared, &send, None) => match tried {
-                Ok(found) => {
+            result = try_once(&shell, &prepared, &send, None) => match result {
+                Ok(upstream) => {
                     shell.core.tell(Event::Begun { request, attempt });
-                    let took = prepared.came.elapsed().as_secs_f64();
+                    let took = prepared.received_at.elapsed().as_secs_f64();
                     shell.metrics.first_byte.observe(took);
-                    return Ok(stream(&shell, &prepared, &send, found, orders));
+                    return Ok(build_response(&shell, &prepared, &send, upstream, orders));
                 }
-                Err(Miss { verdict, cause, answer }) => {
-                    error = answer.map(|found| (send, found)).or(error);
+                Err(AttemptFailure { verdict, cause, answer }) => {
+                    error = answer.map(|upstream| (send, upstream)).or(error);
                     shell.core.tell(Event::Failed {
                         request,
                         attempt,
@@ -332,16 +333,17 @@
                 }
             },
             order = orders.recv() => match order {
-                // The drop of the attempt closes its connection and so cancels it there.
+                // Dropping the attempt closes its connection, which cancels the request at the
+                // target.
                 Some(Order::Abort | Order::Leave) => {}
                 Some(Order::Reply(reply)) => return Err(reply),
-                _ => return Err(lost()),
+                _ => return Err(task_failed()),
             },
         }
     }
 }
 
-fn replayed(shell: &Shell, answer: id::Request) -> Result<Response<Body>, Reply> {
+fn replay_response(shell: &Shell, answer: id::Request) -> Result<Response<Body>, Reply> {
     shell.metrics.replays.inc();
     let Some(answer) = shell.replay.get(answer) else {
         let reason = "it ran; its answer is no longer at hand";
@@ -353,27 +355,27 @@
     Ok(response)
 }
 
-/// Makes the answer to the caller out of one that begins.
-fn stream(
+/// Builds the response to the caller from an upstream response.
+fn build_response(
     shell: &Arc<Shell>,
     prepared: &Arc<Prepared>,
     send: &Send,
-    found: Found,
+    upstream: Upstream,
     orders: mpsc::UnboundedReceiver<Order>,
 ) -> Response<Body> {
     let (verdict, region) = match &send.target {
         Target::Backend { .. } => (Verdict::Ran, shell.settings.region.clone()),
         Target::Relay { region, .. } => (Verdict::Ran, region.clone()),
         Target::Pass { .. } => {
-            let verdict = head::verdict(found.response.headers());
+            let verdict = head::verdict(upstream.response.headers());
             (
                 verdict.unwrap_or(Verdict::MayHaveRun),
                 shell.settings.region.clone(),
             )
         }
     };
-    let status = found.response.status();
-    let mut headers = head::response(found.response.headers().clone());
+    let status = upstream.response.status();
+    let mut headers = head::forwarded_response(upstream.response.headers().clone());
     let platform = shell.settings.interface == Interface::Platform;
     if prepared.door == Door::Peer || !platform {
         headers.insert(head::VERDICT, head::value(verdict));
@@ -384,13 +386,13 @@
         attempt: send.attempt,
     };
     let core = shell.core.clone();
-    let goes_on = send.resumable || send.movable;
-    let goes_on = goes_on && !found.response.headers().contains_key(CONTENT_LENGTH);
-    let resume = goes_on.then(|| Resume::new(shell.clone(), prepared.clone(), send.resumable));
+    let can_resume = send.resumable || send.movable;
+    let can_resume = can_resume && !upstream.response.headers().contains_key(CONTENT_LENGTH);
+    let resume = can_resume.then(|| Resume::new(shell.clone(), prepared.clone(), send.resumable));
     let pulse = shell.signs.pulse(&send.target);
-    let came = prepared.came;
+    let received_at = prepared.received_at;
     let metrics = shell.metrics.clone();
-    let mut stream = Stream::new(found, core, metrics, orders, source, came, resume);
+    let mut stream = Stream::new(upstream, core, metrics, orders, source, received_at, resume);
     stream.pulse = pulse;
     let body = if send.record {
         let answer = Answer {
@@ -398,7 +400,7 @@
             headers: headers.clone(),
             body: Bytes::new(),
         };
-        Body::Kept(keep(shell.clone(), stream, source.request, answer))
+        Body::Buffered(buffer_answer(shell.clone(), stream, source.request, answer))
     } else {
         Body::Stream(Box::new(stream))
     };
@@ -408,37 +410,38 @@
     response
 }
 
-/// Reads a stream to its end, whether or not the caller still listens, and keeps the answer.
-fn keep(
+/// Reads a stream to its end, even if the caller has disconnected, and stores the response for
+/// re-sends.
+fn buffer_answer(
     shell: Arc<Shell>,
     mut stream: Stream,
     request: id::Request,
     mut answer: Answer,
-) -> mpsc::Receiver<Result<Bytes, Cut>> {
-    let (sender, receiver) = mpsc::channel(BACKLOG);
+) -> mpsc::Receiver<Result<Bytes, Truncated>> {
+    let (sender, receiver) = mpsc::channel(ANSWER_QUEUE_PIECES);
     tokio::spawn(async move {
-        let mut listener = Some(sender);
-        let mut kept = Some(Vec::new());
+        let mut caller = Some(sender);
+        let mut buffered = Some(Vec::new());
         loop {
             match poll_fn(|cx| stream.poll_piece(cx)).await {
                 Piece::Data(bytes) => {
-                    if let Some(all) = kept.as_mut() {
+                    if let Some(all) = buffered.as_mut() {
                         all.extend_from_slice(&bytes);
                     }
-                    kept = kept.filter(|all| all.len() <= MAX_ANSWER);
-                    listener = hand_on(listener, Ok(bytes)).await;
+                    buffered = buffered.filter(|all| all.len() <= MAX_ANSWER_BYTES);
+                    caller = send_piece(caller, Ok(bytes)).await;
                 }
                 Piece::End => {
-                    // Kept before the end is told, so that a re-send never finds it missing.
-                    if let Some(all) = kept {
+                    // Stored before the end is reported, so that a re-send always finds it.
+                    if let Some(all) = buffered {
                         answer.body = all.into();
                         shell.replay.keep(request, answer);
                     }
                     return stream.end(true);
                 }
-                Piece::Cut | Piece::Stopped | Piece::Left => {
+                Piece::Truncated | Piece::Aborted | Piece::Moving => {
                     stream.end(false);
-                    hand_on(listener, Err(Cut)).await;
+                    send_piece(caller, Err(Truncated)).await;
                     return;
                 }
             }
@@ -447,11 +450,11 @@
     receiver
 }
 
-type Listener = Option<mpsc::Sender<Result<Bytes, Cut>>>;
+type CallerChannel = Option<mpsc::Sender<Result<Bytes, Truncated>>>;
 
-/// Gives a piece to the caller; one that takes nothing for long is left.
-async fn hand_on(listener: Listener, piece: Result<Bytes, Cut>) -> Listener {
-    let sender = listener?;
-    let sent = sender.send_timeout(piece, STALL).await;
+/// Sends a piece to the caller; one that accepts nothing for [`STALL_TIMEOUT`] is dropped.
+async fn send_piece(caller: CallerChannel, piece: Result<Bytes, Truncated>) -> CallerChannel {
+    let sender = caller?;
+    let sent = sender.send_timeout(piece, STALL_TIMEOUT).await;
     sent.is_ok().then_some(sender)
 }
--- a/src/gateway/framing.rs
+++ b/src/gateway/framing.rs
@@ -1,19 +1,19 @@
-//! Notices requests whose length is told in two ways.
+//! Detects requests with both a `Content-Length` and a `Transfer-Encoding`.
 //!
-//! The HTTP library takes a request with both a length and chunks, and goes by the chunks. Another
-//! reader on the way may have gone by the length and so see another request behind it; such a
-//! request has to be refused.
+//! The HTTP library accepts such a request and goes by the chunks. A proxy in front may have used
+//! the length and seen a different request after it (request smuggling), so such a request has to
+//! be refused.
 
 use std::sync::{
     Arc,
     atomic::{AtomicBool, Ordering},
 };
 
-/// Largest head that is looked at; the HTTP library refuses longer ones.
-const MAX_HEAD: usize = 64 << 10;
-const END: &[u8] = b"\r\n\r\n";
+/// Maximum size of a scanned head; the HTTP library refuses longer ones.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What the bytes of one connection were seen to hold; shared by its reader and its service.
+/// State shared by a connection's scanner and its request handler.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Flags(Arc<Shared>);
 
@@ -24,18 +24,19 @@
 }
 
 impl Flags {
-    /// Whether the request in hand tells its length twice.
+    /// Reports whether a request on this connection had an ambiguous length.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.0.ambiguous.load(Ordering::Relaxed)
     }
 
-    /// Notes that the request in hand was read whole: what comes next is a head.
-    pub(crate) fn answered(&self) {
+    /// Marks the current request as answered: the scanner takes the next bytes as the start of a
+    /// head.
+    pub(crate) fn mark_answered(&self) {
         self.0.answered.store(true, Ordering::Relaxed);
     }
 }
 
-/// Follows the heads on one connection.
+/// Scans the request heads on one connection.
 #[derive(Debug)]
 pub(crate) struct Scanner {
     flags: Flags,
@@ -44,7 +45,7 @@
 }
 
 impl Scanner {
-    /// A scanner of a fresh connection.
+    /// Creates a scanner for a new connection.
     pub(crate) fn new(flags: Flags) -> Self {
         Self {
             flags,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes the bytes that were read.
+    /// Scans the bytes that were read from the connection.
     pub(crate) fn read(&mut self, bytes: &[u8]) {
         if self.flags.0.answered.swap(false, Ordering::Relaxed) {
             self.in_head = true;
@@ -62,25 +63,27 @@
         if !self.in_head || bytes.is_empty() {
             return;
         }
-        let from = self.head.len().saturating_sub(END.len());
+        let from = self.head.len().saturating_sub(HEAD_END.len());
         self.head.extend_from_slice(bytes);
-        let end = self.head[from..].windows(END.len()).position(|w| w == END);
+        let end = self.head[from..]
+            .windows(HEAD_END.len())
+            .position(|w| w == HEAD_END);
         if let Some(end) = end {
             let head = &self.head[..from + end];
-            if tells_twice(head) {
+            if has_two_lengths(head) {
                 self.flags.0.ambiguous.store(true, Ordering::Relaxed);
             }
             self.in_head = false;
             self.head.clear();
-        } else if self.head.len() > MAX_HEAD {
+        } else if self.head.len() > MAX_HEAD_BYTES {
             self.in_head = false;
             self.head.clear();
         }
     }
 }
 
-/// Whether `head` names both a length and a transfer coding.
-fn tells_twice(head: &[u8]) -> bool {
+/// Reports whether `head` has both a length and a transfer coding.
+fn has_two_lengths(head: &[u8]) -> bool {
     let (mut length, mut coding) = (false, false);
     for line in head.split(|b| *b == b'\n') {
         let name = line.split(|b| *b == b':').next().unwrap_or_default();
--- a/src/gateway/head.rs
+++ b/src/gateway/head.rs
@@ -1,4 +1,4 @@
-//! Request and response heads: our header names, and what may not pass through.
+//! Request and response heads: petreldrum's own headers, and which headers are not forwarded.
 
 use bytes::Bytes;
 use hyper::{
@@ -15,67 +15,68 @@
     unit::Millis, verdict::Verdict,
 };
 
-/// Whether the request may have run; on every answer.
+/// States whether the request may have run; set on responses.
 pub const VERDICT: &str = "petreldrum-verdict";
-/// Milliseconds left until the answer must have begun.
+/// Milliseconds left until the response must have begun.
 pub const LEFT: &str = "petreldrum-deadline-ms";
-/// The box that answered.
+/// The box that answered the request.
 pub const BOX: &str = "petreldrum-box";
 /// The region whose backend server answered.
 pub const REGION: &str = "petreldrum-region";
-/// A fresh key prefix.
+/// A new prefix for idempotency keys.
 pub const KEY_PREFIX: &str = "petreldrum-key-prefix";
-/// Between boxes: the shared secret.
+/// Between boxes: the cluster secret.
 pub const SECRET: &str = "petreldrum-secret";
-/// Between boxes: how the request goes, [`HOP_RELAY`] or [`HOP_PASS`].
+/// Between boxes: why the request was forwarded, [`HOP_RELAY`] or [`HOP_PASS`].
 pub const HOP: &str = "petreldrum-hop";
-/// Between boxes: how many backend servers may still run the request.
+/// Between boxes: how many more backend servers may run the request.
 pub const RUNS: &str = "petreldrum-runs";
-/// Between boxes, on a request: its sender takes only answers whose head has a check, and reads bodies
-/// in records.
+/// Between boxes, on a request: the sender requires a checksum of the response head, and reads
+/// bodies framed as records.
 pub const CHECKED: &str = "petreldrum-checked";
-/// Between boxes, on an answer: its body comes in records.
+/// Between boxes, on a response: the body is framed as records.
 pub const RECORDS: &str = "petreldrum-records";
-/// Between boxes, on an answer: the check of its head.
+/// Between boxes, on a response: the checksum of the head.
 pub const CHECK: &str = "petreldrum-check";
-/// Between boxes: the region that sends.
+/// Between boxes: the region of the sending box.
 pub const FROM: &str = "petreldrum-from";
-/// Between boxes: the customer whose key was checked.
+/// Between boxes: the customer whose API key the sending box verified.
 pub const CUSTOMER: &str = "petreldrum-caller";
-/// Between boxes: the answering box is stopping, and another one of its region may do better.
+/// Between boxes: the responding box is stopping, and another box of its region may accept the
+/// request.
 pub const LEAVING: &str = "petreldrum-leaving";
-/// A request sent by the region that its caller reached.
+/// Marks a request that was relayed by the region that the caller reached.
 pub const HOP_RELAY: &str = "relay";
-/// A request sent to the box that its key names.
+/// Marks a request that was passed to the box that its idempotency key names.
 pub const HOP_PASS: &str = "pass";
-/// The key of a request that may not be repeated.
+/// The idempotency key of a request that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Another header for the API key.
+/// The alternative to `Authorization` for the API key.
 pub const API_KEY: &str = "x-api-key";
-/// Where a box gives its configuration to others.
+/// The path at which a box serves its configuration to other boxes.
 pub const CONFIG_PATH: &str = "/petreldrum/config";
-/// Where a box tells others of the registered backend servers that it knows.
+/// The path at which a box serves its list of registered backend servers to other boxes.
 pub const ROSTER_PATH: &str = "/petreldrum/roster";
-/// The field of its query that names how far the asker knows them.
+/// The query parameter with the revision of the list that the requesting box already has.
 const SINCE: &str = "since";
 
-/// The path to the list of servers, or to what changed of it after `since`.
+/// Returns the path of the list of backend servers, or of its changes after `since`.
 pub fn roster_path(since: Option<Revision>) -> String {
     let query = since.map(|revision| format!("?{SINCE}={revision}"));
     ROSTER_PATH.to_owned() + &query.unwrap_or_default()
 }
 
-/// How far the asker for the list knows it.
+/// Reads the revision that the requesting box already has.
 pub fn roster_since(query: Option<&str>) -> Option<Revision> {
     let since = platform::door::value(query, SINCE)?;
     since.parse().ok()
 }
 
-const OWN: &str = "petreldrum-";
+const OWN_PREFIX: &str = "petreldrum-";
 const HOP_BY_HOP: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-const HOP_BY_HOP_OLD: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authorization"];
+const HOP_BY_HOP_LEGACY: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authorization"];
 
-/// Takes out what belongs to one connection, and our own headers.
+/// Removes hop-by-hop headers and petreldrum's own headers.
 fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -86,20 +87,20 @@
         .collect();
     let own: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| name.as_str().starts_with(OWN))
+        .filter(|name| name.as_str().starts_with(OWN_PREFIX))
         .cloned()
         .collect();
     for name in named.iter().chain(&own).chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
-    for name in HOP_BY_HOP_OLD {
+    for name in HOP_BY_HOP_LEGACY {
         headers.remove(name);
     }
 }
 
-/// What of a caller's head goes on: nothing of its connection. Whether an API key may is known at the send
-/// only.
-pub(crate) fn request(mut headers: HeaderMap, interface: Interface) -> HeaderMap {
+/// Returns the headers of a request that are forwarded. On the platform's interface the API key is
+/// removed only when the request is sent, as the configuration decides about it.
+pub(crate) fn forwarded_request(mut headers: HeaderMap, interface: Interface) -> HeaderMap {
     strip(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove("expect");
@@ -114,21 +115,22 @@
     headers
 }
 
-/// The answer to a request whose length is told twice; nothing after it can be believed.
-pub(crate) fn ambiguous() -> Response<Body> {
+/// Builds the response to a request whose length is given in two ways; it closes the connection, as
+/// the bytes that follow are not reliable.
+pub(crate) fn ambiguous_length() -> Response<Body> {
     let reply = Reply::new(400, Verdict::NotRun, "the length is told twice");
     let mut response = problem(&reply, None, Interface::Own);
     platform::head::close(response.headers_mut());
     response
 }
 
-/// What of a place's head goes back to the caller.
-pub(crate) fn response(mut headers: HeaderMap) -> HeaderMap {
+/// Returns the headers of a response that are forwarded to the caller.
+pub(crate) fn forwarded_response(mut headers: HeaderMap) -> HeaderMap {
     strip(&mut headers);
     headers
 }
 
-/// The API key that `headers` bring.
+/// Returns the API key in `headers`.
 pub(crate) fn api_key(headers: &HeaderMap) -> Option<&[u8]> {
     if let Some(value) = headers.get(API_KEY) {
         return Some(value.as_bytes());
@@ -136,40 +138,41 @@
     bearer(headers)
 }
 
-/// The bearer token that `headers` bring.
+/// Returns the bearer token in `headers`.
 pub(crate) fn bearer(headers: &HeaderMap) -> Option<&[u8]> {
     let value = headers.get(AUTHORIZATION)?.as_bytes();
     let (scheme, token) = value.split_at_checked("Bearer ".len())?;
     scheme.eq_ignore_ascii_case(b"Bearer ").then_some(token)
 }
 
-/// The time left that `headers` name; an unreadable one counts as absent.
-pub(crate) fn left(headers: &HeaderMap) -> Option<Millis> {
+/// Returns the time left according to `headers`; an invalid value counts as absent.
+pub(crate) fn time_left(headers: &HeaderMap) -> Option<Millis> {
     headers.get(LEFT)?.to_str().ok()?.parse().ok().map(Millis)
 }
 
-/// The caller's own name for a request.
-pub(crate) fn tag(headers: &HeaderMap) -> Option<String> {
-    let tag = headers.get(platform::head::REQUEST_ID)?;
-    tag.to_str().ok().map(str::to_owned)
+/// Returns the caller's request id.
+pub(crate) fn caller_request_id(headers: &HeaderMap) -> Option<String> {
+    let request_id = headers.get(platform::head::REQUEST_ID)?;
+    request_id.to_str().ok().map(str::to_owned)
 }
 
-/// The host that `headers` name.
+/// Returns the `Host` in `headers`.
 pub(crate) fn host(headers: &HeaderMap) -> Option<String> {
     headers.get(HOST)?.to_str().ok().map(str::to_owned)
 }
 
-/// How many backend servers may still run the request, as another box says.
+/// Returns how many more backend servers may run the request, as set by another box.
 pub(crate) fn runs(headers: &HeaderMap) -> Option<u32> {
     headers.get(RUNS)?.to_str().ok()?.parse().ok()
 }
 
-/// The verdict that another box gave.
+/// Returns the verdict of another box.
 pub(crate) fn verdict(headers: &HeaderMap) -> Option<Verdict> {
     headers.get(VERDICT)?.to_str().ok()?.parse().ok()
 }
 
-/// A header value of our own making; odd bytes cannot occur in names and numbers.
+/// Converts `text` to a header value. Names and numbers contain no invalid bytes; other text that
+/// does becomes `?`.
 pub(crate) fn value(text: impl std::fmt::Display) -> HeaderValue {
     HeaderValue::from_str(&text.to_string()).unwrap_or_else(|_| HeaderValue::from_static("?"))
 }
@@ -178,18 +181,20 @@
     status.canonical_reason().unwrap_or("error")
 }
 
-/// The status of `reply`. On the platform some statuses promise that the request did not run, and
-/// are given for nothing else.
+/// Returns the status code of `reply`. On the platform some status codes guarantee that the request
+/// did not run, and are replaced by 502 if it may have.
 fn status(reply: &Reply, interface: Interface) -> StatusCode {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let promise = platform::head::PROMISES.contains(&status);
+    let promises_not_run = platform::head::PROMISES.contains(&status);
     match interface {
-        Interface::Platform if promise && !reply.verdict.is_not_run() => StatusCode::BAD_GATEWAY,
+        Interface::Platform if promises_not_run && !reply.verdict.is_not_run() => {
+            StatusCode::BAD_GATEWAY
+        }
         Interface::Platform | Interface::Own => status,
     }
 }
 
-/// Writes `reply` as problem+json; `key_prefix` goes with it where one is offered.
+/// Builds a problem+json response from `reply`, with `key_prefix` if one is offered.
 pub(crate) fn problem(
     reply: &Reply,
     key_prefix: Option<&str>,
@@ -222,23 +227,23 @@
     response
 }
 
-/// Brings a body that comes piece by piece in records, so that the other box sees a gap. One with a
-/// length shows that by itself.
-pub(crate) fn recorded(response: Response<Body>, method: &Method) -> Response<Body> {
+/// Frames a streamed body as records, so that the receiving box detects missing bytes. A body with
+/// a length needs no records, as a missing part shows by itself.
+pub(crate) fn with_records(response: Response<Body>, method: &Method) -> Response<Body> {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-    let none = *method == Method::HEAD || bodiless.contains(&response.status());
-    if none || response.headers().contains_key(CONTENT_LENGTH) {
+    let has_no_body = *method == Method::HEAD || bodiless.contains(&response.status());
+    if has_no_body || response.headers().contains_key(CONTENT_LENGTH) {
         return response;
     }
     let mut response = response.map(Body::into_records);
-    if matches!(response.body(), Body::Recorded(_)) {
+    if matches!(response.body(), Body::Records(_)) {
         let headers = response.headers_mut();
         headers.insert(RECORDS, value(true));
     }
     response
 }
 
-/// An answer that is all at hand.
+/// Builds a response whose body is complete in memory.
 pub(crate) fn whole(
     status: StatusCode,
     content_type: &'static str,
@@ -251,12 +256,12 @@
     response
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub(crate) fn json_answer(status: StatusCode, content: &impl serde::Serialize) -> Response<Body> {
     match serde_json::to_vec(content) {
         Ok(bytes) => whole(status, "application/json", bytes),
         Err(error) => {
-            log::error!("http: cannot write an answer: {error}");
+            log::error!("http: cannot serialize a response: {error}");
             whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
         }
     }
--- a/src/gateway/keep.rs
+++ b/src/gateway/keep.rs
@@ -1,5 +1,5 @@
-//! What the boxes themselves keep in the platform's store: which contents are held back, and how roll-outs
-//! stand.
+//! Writes the state that the boxes keep in the platform's store: quarantined contents and the
+//! status of roll-outs.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,34 +16,37 @@
     unit::Millis,
 };
 
-/// How often a write is tried while the store is away, and how far apart: the boxes know the content
-/// meanwhile, so only the loss of all of them at that time would matter.
-const TRIES: (u32, Duration) = (10, Duration::from_secs(2));
+/// Number of tries of a write while the store is unavailable, and the delay between them. The boxes
+/// hold the entry in memory meanwhile, so it is lost only if all of them stop during that time.
+const WRITE_TRIES: (u32, Duration) = (10, Duration::from_secs(2));
 
-/// A write to the store.
+/// A change of the quarantine entries in the store.
 pub(crate) enum Write {
-    /// A content is held back.
+    /// Adds a content to the quarantine.
     Keep(Held),
-    /// It is no more.
+    /// Removes a content from the quarantine.
     Discard(Fingerprint),
 }
 
-/// Writes to the store, and tries again where that fails.
+/// Applies a quarantine change to the store and retries it on failure.
 pub(crate) async fn write(store: SocketAddr, pool: Arc<Pool>, write: Write) {
     let client = Client::new(store, pool);
-    let (tries, pause) = TRIES;
+    let (tries, delay) = WRITE_TRIES;
     for _ in 0..tries {
-        let Err(error) = try_once(&client, &write).await else {
+        let Err(error) = try_write(&client, &write).await else {
             return;
         };
-        log::warn!("quarantine: the store did not take a write: {error}");
-        sleep(pause).await;
+        log::warn!("quarantine: write to the store failed: {error}");
+        sleep(delay).await;
     }
-    log::error!("quarantine: the store took no write in {tries} tries; the boxes alone know");
+    log::error!(
+        "quarantine: write to the store failed {tries} times; only the boxes hold this entry"
+    );
 }
 
-/// Writes how a roll-out stands, unless its end was written, or the order is another one by now. The reducer
-/// asks again where the store does not tell of it.
+/// Writes the status of a roll-out, unless its end or the same status has been written already or
+/// the order has been replaced. A failed write is not retried here: the reducer requests it again
+/// until the store reports the status.
 pub(crate) async fn settle(
     store: SocketAddr,
     pool: Arc<Pool>,
@@ -55,9 +58,11 @@
     let name = standing.name();
     match try_settle(&client, &service, order, standing).await {
         Ok(true) => log::info!("rollout: service={service} wrote={name}"),
-        Ok(false) => log::info!("rollout: service={service} wrote=nothing, others were first"),
+        Ok(false) => {
+            log::info!("rollout: service={service} wrote=nothing, another write came first")
+        }
         Err(error) => {
-            log::warn!("rollout: service={service} the store did not take {name}: {error}")
+            log::warn!("rollout: service={service} cannot write {name} to the store: {error}")
         }
     }
 }
@@ -91,7 +96,7 @@
     }
 }
 
-async fn try_once(client: &Client, write: &Write) -> Result<(), Error> {
+async fn try_write(client: &Client, write: &Write) -> Result<(), Error> {
     match write {
         Write::Keep(held) => {
             let key = record::held_key(&held.content);
--- a/src/gateway/read.rs
+++ b/src/gateway/read.rs
@@ -1,4 +1,4 @@
-//! Reads what comes with a request: its body, the model it names, its idempotency key.
+//! Reads the parts of a request: its body, the model that it names, and its idempotency key.
 
 use std::time::Duration;
 
@@ -27,19 +27,19 @@
     verdict::Verdict,
 };
 
-/// How long a request's body may take to arrive.
+/// Time limit for the arrival of a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of the prompt that name its prefix.
-const PREFIX_BYTES: usize = 1024;
-/// Body memory is counted in pieces of this many bytes.
+/// Number of bytes at the start of a prompt that identify its prefix.
+const MAX_PREFIX_BYTES: usize = 1024;
+/// Bytes of body memory per semaphore permit.
 pub(crate) const PIECE: u64 = 1024;
 
-/// A refusal before anything was sent.
+/// Builds a refusal of a request that was not sent anywhere.
 pub(crate) fn deny(status: u16, reason: &str) -> Reply {
     Reply::new(status, Verdict::NotRun, reason)
 }
 
-/// Reads a body within the limits, and takes its share of the memory for bodies.
+/// Reads a request body within the size and time limits, and reserves memory for it.
 pub(crate) async fn read_body(
     shell: &Shell,
     body: &mut Incoming,
@@ -52,8 +52,8 @@
     if hint.exact() == Some(0) {
         return Ok((Bytes::new(), None));
     }
-    let pieces = hint.exact().unwrap_or(limit).div_ceil(PIECE);
-    let memory = shell.bodies.clone().try_acquire_many_owned(pieces as u32);
+    let permits = hint.exact().unwrap_or(limit).div_ceil(PIECE);
+    let memory = shell.bodies.clone().try_acquire_many_owned(permits as u32);
     let full = || deny(503, "this box holds too many bodies").after(Millis(1000));
     let memory = memory.map_err(|_| full())?;
     let read = Limited::new(body, limit as usize).collect();
@@ -76,34 +76,35 @@
     prompt: Option<&'a RawValue>,
 }
 
-/// What routing needs of a model request.
+/// The fields of a model request that routing uses.
 #[derive(Default)]
 pub(crate) struct Routing {
     pub(crate) model: Option<Service>,
     pub(crate) prefix: u64,
 }
 
-/// What a request tells of itself besides its path, in the way of the interface.
-pub(crate) struct Told {
+/// The attributes of a request besides its path, read according to the interface in use.
+pub(crate) struct Attributes {
     pub(crate) routing: Routing,
     pub(crate) key: Key,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) content: Content,
-    /// Time left for it.
-    pub(crate) left: Option<Millis>,
+    /// Time left until the response must have begun.
+    pub(crate) time_left: Option<Millis>,
 }
 
-/// Reads what a request tells of itself; another box says itself how much time is left.
-pub(crate) fn read_told(
+/// Reads the attributes of a request. On a relayed request the time left is the one set by the
+/// sending box.
+pub(crate) fn read_attributes(
     shell: &Shell,
     parts: &Parts,
     uri: &Uri,
     body: &[u8],
     door: Door,
-) -> Result<Told, Reply> {
+) -> Result<Attributes, Reply> {
     let headers = &parts.headers;
     let platform = shell.settings.interface == Interface::Platform;
-    // Between boxes of our own interface the host is the receiving box's.
+    // Between boxes with petreldrum's own interface the `Host` is that of the receiving box.
     let host = platform.then(|| head::host(headers)).flatten();
     let content = Content::of(
         &shell.settings.cluster_secret,
@@ -113,28 +114,28 @@
         body,
     );
     match shell.settings.interface {
-        Interface::Own => Ok(Told {
-            routing: read_prompt(shell, uri.path(), body)?,
+        Interface::Own => Ok(Attributes {
+            routing: read_routing(shell, uri.path(), body)?,
             key: read_key(shell, headers, &parts.method, uri, body)?,
             prompt: None,
             content,
-            left: head::left(headers),
+            time_left: head::time_left(headers),
         }),
-        Interface::Platform => Ok(Told {
+        Interface::Platform => Ok(Attributes {
             routing: Routing::default(),
             key: Key::Absent,
             prompt: platform::head::prompt(headers),
             content,
-            left: match door {
+            time_left: match door {
                 Door::Public => platform::head::left(headers),
-                Door::Peer => head::left(headers),
+                Door::Peer => head::time_left(headers),
             },
         }),
     }
 }
 
-/// Reads what routing needs of a model request's body.
-fn read_prompt(shell: &Shell, path: &str, body: &[u8]) -> Result<Routing, Reply> {
+/// Reads the fields that routing uses from the body of a model request.
+fn read_routing(shell: &Shell, path: &str, body: &[u8]) -> Result<Routing, Reply> {
     let current = shell.current.borrow().clone();
     let kind = current.and_then(|c| c.config.route(None, path).map(|r| r.kind));
     if kind != Some(Kind::Model) {
@@ -143,14 +144,14 @@
     let prompt: ModelBody<'_> = serde_json::from_slice(body)
         .map_err(|e| deny(400, &format!("the body is not a model request: {e}")))?;
     let text = prompt.messages.or(prompt.prompt).map_or("", RawValue::get);
-    let beginning = &text.as_bytes()[..text.len().min(PREFIX_BYTES)];
+    let prefix_bytes = &text.as_bytes()[..text.len().min(MAX_PREFIX_BYTES)];
     Ok(Routing {
         model: prompt.model.and_then(|name| name.parse().ok()),
-        prefix: xxhash_rust::xxh3::xxh3_64(beginning),
+        prefix: xxhash_rust::xxh3::xxh3_64(prefix_bytes),
     })
 }
 
-/// Reads the idempotency key.
+/// Reads the idempotency key and hashes the content of the request.
 fn read_key(
     shell: &Shell,
     headers: &HeaderMap,
--- a/src/gateway/records.rs
+++ b/src/gateway/records.rs
@@ -1,60 +1,60 @@
-//! Bodies of answers between boxes, in records that show a gap.
+//! Record framing for response bodies between boxes, which detects missing bytes.
 //!
-//! A connection whose sender has given it up may still deliver the last of what was written, and not
-//! what came before. Each record says how long it is and has a check of its bytes and of their
-//! position, and a last one without bytes marks the end.
+//! A connection that its sender has aborted may still deliver the last bytes that were written
+//! without those before them. Each record carries its length and a checksum of its bytes and their
+//! offset in the body. An empty record marks the end.
 
 use std::fmt;
 
 use bytes::{Buf as _, BufMut as _, Bytes, BytesMut};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes before those of a record: its length and its check.
-const HEAD: usize = 8;
-/// Most bytes of one record.
-const MAX_RECORD: usize = 64 << 10;
+/// Length of a record's header: the record's length and its checksum.
+const HEAD_BYTES: usize = 8;
+/// Maximum payload of one record.
+const MAX_RECORD_BYTES: usize = 64 << 10;
 
-/// The check of a record that begins at `offset` of the body.
-fn check(bytes: &[u8], offset: u64) -> u32 {
+/// Computes the checksum of a record that begins at `offset` of the body.
+fn checksum(bytes: &[u8], offset: u64) -> u32 {
     xxh3_64_with_seed(bytes, offset) as u32
 }
 
-/// Writes a body in records.
+/// Encodes a body as records.
 #[derive(Debug, Default)]
 pub struct Writer {
     offset: u64,
 }
 
 impl Writer {
-    /// The records of the next bytes.
+    /// Encodes the next bytes of the body.
     pub fn write(&mut self, bytes: &[u8]) -> Bytes {
-        let records = bytes.len().div_ceil(MAX_RECORD);
-        let mut out = BytesMut::with_capacity(bytes.len() + records * HEAD);
-        for part in bytes.chunks(MAX_RECORD) {
-            self.put(part, &mut out);
+        let records = bytes.len().div_ceil(MAX_RECORD_BYTES);
+        let mut out = BytesMut::with_capacity(bytes.len() + records * HEAD_BYTES);
+        for part in bytes.chunks(MAX_RECORD_BYTES) {
+            self.put_record(part, &mut out);
         }
         out.freeze()
     }
 
-    /// The record that marks the end of the body.
+    /// Returns the record that marks the end of the body.
     pub fn end(&mut self) -> Bytes {
-        let mut out = BytesMut::with_capacity(HEAD);
-        self.put(&[], &mut out);
+        let mut out = BytesMut::with_capacity(HEAD_BYTES);
+        self.put_record(&[], &mut out);
         out.freeze()
     }
 
-    fn put(&mut self, bytes: &[u8], out: &mut BytesMut) {
+    fn put_record(&mut self, bytes: &[u8], out: &mut BytesMut) {
         out.put_u32(bytes.len() as u32);
-        out.put_u32(check(bytes, self.offset));
+        out.put_u32(checksum(bytes, self.offset));
         out.put_slice(bytes);
         self.offset += bytes.len() as u64;
     }
 }
 
-/// Something is missing, or not as it was written.
+/// The error for bytes that are missing or corrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// Bytes of the body that came before.
+    /// Number of bytes of the body that were read before it.
     pub offset: u64,
 }
 
@@ -66,7 +66,7 @@
 
 impl std::error::Error for Gap {}
 
-/// Reads a body that was written in records, in whatever pieces it comes.
+/// Decodes a body from records that arrive in chunks of any size.
 #[derive(Debug, Default)]
 pub struct Reader {
     offset: u64,
@@ -75,7 +75,8 @@
 }
 
 impl Reader {
-    /// Takes the next bytes of the connection; returns those of the records that are whole.
+    /// Reads the next bytes of the connection and returns the payload of the records that are
+    /// complete.
     pub fn read(&mut self, bytes: &[u8]) -> Result<Bytes, Gap> {
         self.partial.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -93,26 +94,26 @@
             return Err(gap);
         }
         let mut head = &self.partial[..];
-        if head.len() < HEAD {
+        if head.len() < HEAD_BYTES {
             return Ok(None);
         }
         let (length, expected) = (head.get_u32() as usize, head.get_u32());
-        if length > MAX_RECORD {
+        if length > MAX_RECORD_BYTES {
             return Err(gap);
         }
         if head.len() < length {
             return Ok(None);
         }
-        if check(&head[..length], self.offset) != expected {
+        if checksum(&head[..length], self.offset) != expected {
             return Err(gap);
         }
-        self.partial.advance(HEAD);
+        self.partial.advance(HEAD_BYTES);
         self.ended = length == 0;
         self.offset += length as u64;
         Ok(Some(self.partial.split_to(length)))
     }
 
-    /// Whether the end of the body was marked, and nothing came behind it.
+    /// Reports whether the end marker was read and nothing followed it.
     pub fn is_ended(&self) -> bool {
         self.ended && self.partial.is_empty()
     }
--- a/src/gateway/replay.rs
+++ b/src/gateway/replay.rs
@@ -1,4 +1,5 @@
-//! Answers kept for re-sends of their keys, within a budget of bytes.
+//! Cache of responses for requests that are sent again with the same idempotency key, limited in
+//! size.
 
 use std::{
     collections::HashMap,
@@ -10,14 +11,14 @@
 
 use crate::id;
 
-/// Largest answer that is kept, in bytes.
-pub(crate) const MAX_ANSWER: usize = 256 << 10;
-/// All kept answers together, in bytes.
-const BUDGET: usize = 16 << 20;
-/// Bytes counted for an answer's head.
-const HEAD: usize = 512;
+/// Largest response that is cached, in bytes.
+pub(crate) const MAX_ANSWER_BYTES: usize = 256 << 10;
+/// Maximum total size of the cache, in bytes.
+const MAX_TOTAL_BYTES: usize = 16 << 20;
+/// Bytes that are counted for the head of a response.
+const HEAD_BYTES: usize = 512;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -26,43 +27,43 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Entries {
     answers: HashMap<id::Request, Answer>,
     bytes: usize,
 }
 
-/// The kept answers of one box.
+/// The response cache of one box.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
-    kept: Mutex<Kept>,
+    entries: Mutex<Entries>,
 }
 
 impl Replay {
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().expect("the lock is never poisoned")
+    fn lock(&self) -> MutexGuard<'_, Entries> {
+        self.entries.lock().expect("the lock is never poisoned")
     }
 
-    /// Keeps an answer where the budget allows.
+    /// Adds a response to the cache if it fits into the size limit.
     pub(crate) fn keep(&self, request: id::Request, answer: Answer) {
-        let mut kept = self.lock();
-        let size = answer.body.len() + HEAD;
-        if kept.bytes + size > BUDGET {
+        let mut entries = self.lock();
+        let size = answer.body.len() + HEAD_BYTES;
+        if entries.bytes + size > MAX_TOTAL_BYTES {
             return;
         }
-        kept.bytes += size;
-        kept.answers.insert(request, answer);
+        entries.bytes += size;
+        entries.answers.insert(request, answer);
     }
 
-    /// The answer of `request`, where it was kept.
+    /// Returns the cached response of `request`.
     pub(crate) fn get(&self, request: id::Request) -> Option<Answer> {
         self.lock().answers.get(&request).cloned()
     }
 
-    /// Forgets the answer of `request`.
+    /// Removes the response of `request` from the cache.
     pub(crate) fn forget(&self, request: id::Request) {
-        let mut kept = self.lock();
-        if let Some(answer) = kept.answers.remove(&request) {
-            kept.bytes -= answer.body.len() + HEAD;
+        let mut entries = self.lock();
+        if let Some(answer) = entries.answers.remove(&request) {
+            entries.bytes -= answer.body.len() + HEAD_BYTES;
         }
     }
 }
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -1,4 +1,5 @@
-//! Streams of events that go on at another place after a cut, within one answer.
+//! Resumption of event streams at another backend server after a cut, within one response to the
+//! caller.
 
 use std::{
     pin::Pin,
@@ -11,8 +12,8 @@
 use crate::{
     gateway::{
         Shell,
-        attempt::{Found, Miss, Prepared, try_once},
-        carry::Stop,
+        attempt::{AttemptFailure, Prepared, Upstream, try_once},
+        carry::StopState,
         events::Events,
         signs::Pulse,
     },
@@ -20,50 +21,53 @@
     verdict::Verdict,
 };
 
-/// The next place's answer, while it is waited for.
-pub(crate) enum Next {
-    /// It goes on.
-    Found(Box<Found>),
-    /// There is none there.
-    Missed(Verdict, Cause),
+/// Result of an attempt to resume a stream.
+pub(crate) enum AttemptOutcome {
+    /// The stream can continue with this response.
+    Answered(Box<Upstream>),
+    /// The attempt failed.
+    Failed(Verdict, Cause),
 }
 
-/// What a stream needs to go on elsewhere.
+/// State for resuming a stream elsewhere.
 pub(crate) struct Resume {
     shell: Arc<Shell>,
     prepared: Arc<Prepared>,
     pub(crate) events: Events,
-    /// Whether it may go on after a cut; else only where its run is stopped for that.
-    after_cut: bool,
-    pub(crate) stop: Stop,
-    attempt: Option<JoinHandle<Result<Found, Miss>>>,
+    /// Whether the stream may be resumed after any cut; otherwise only after a requested stop of
+    /// its run.
+    resume_after_cut: bool,
+    pub(crate) stop: StopState,
+    attempt: Option<JoinHandle<Result<Upstream, AttemptFailure>>>,
 }
 
 impl Resume {
-    pub(crate) fn new(shell: Arc<Shell>, prepared: Arc<Prepared>, after_cut: bool) -> Self {
+    pub(crate) fn new(shell: Arc<Shell>, prepared: Arc<Prepared>, resume_after_cut: bool) -> Self {
         Self {
             shell,
             prepared,
             events: Events::default(),
-            after_cut,
-            stop: Stop::default(),
+            resume_after_cut,
+            stop: StopState::default(),
             attempt: None,
         }
     }
 
-    /// Whether the stream may leave its place as things stand.
-    pub(crate) fn may_leave(&self) -> bool {
+    /// Reports whether the stream can move now, which it cannot after part of an event was
+    /// forwarded.
+    pub(crate) fn can_move(&self) -> bool {
         !self.events.is_split()
     }
 
-    /// Whether the stream may go on after a cut as things stand.
-    pub(crate) fn outlives_cut(&self) -> bool {
-        self.may_leave() && (self.after_cut || self.stop.is_asked())
+    /// Reports whether the stream can be resumed if it is cut now.
+    pub(crate) fn can_resume_after_cut(&self) -> bool {
+        self.can_move() && (self.resume_after_cut || self.stop.is_requested())
     }
 
-    /// Tries to go on as ordered; returns the stream's word on the next backend server.
+    /// Starts an attempt to resume the stream; returns the liveness reporter for its backend
+    /// server.
     pub(crate) fn start(&mut self, send: Send) -> Option<Pulse> {
-        self.stop = Stop::default();
+        self.stop = StopState::default();
         self.events.forget_partial();
         let pulse = self.shell.signs.pulse(&send.target);
         let (shell, prepared) = (self.shell.clone(), self.prepared.clone());
@@ -73,15 +77,15 @@
         pulse
     }
 
-    /// Gives the attempt up; its connection closes with it.
+    /// Aborts the attempt in flight, which closes its connection.
     pub(crate) fn abort(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             attempt.abort();
         }
     }
 
-    /// What came of the attempt; pending without one.
-    pub(crate) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Next> {
+    /// Polls the attempt in flight; pending if there is none.
+    pub(crate) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<AttemptOutcome> {
         let Some(attempt) = &mut self.attempt else {
             return Poll::Pending;
         };
@@ -90,12 +94,14 @@
         };
         self.attempt = None;
         Poll::Ready(match joined {
-            Ok(Ok(found)) if found.response.status().is_success() => Next::Found(Box::new(found)),
-            Ok(Ok(_)) => Next::Missed(Verdict::MayHaveRun, Cause::Broken),
-            Ok(Err(miss)) => Next::Missed(miss.verdict, miss.cause),
+            Ok(Ok(upstream)) if upstream.response.status().is_success() => {
+                AttemptOutcome::Answered(Box::new(upstream))
+            }
+            Ok(Ok(_)) => AttemptOutcome::Failed(Verdict::MayHaveRun, Cause::Broken),
+            Ok(Err(failure)) => AttemptOutcome::Failed(failure.verdict, failure.cause),
             Err(error) => {
-                log::error!("stream: the attempt to go on broke: {error}");
-                Next::Missed(Verdict::MayHaveRun, Cause::Broken)
+                log::error!("stream: the task of a resume attempt failed: {error}");
+                AttemptOutcome::Failed(Verdict::MayHaveRun, Cause::Broken)
             }
         })
     }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -1,4 +1,5 @@
-//! HTTP listeners: bounded connections, heads and stalls, and a planned stop that cuts nothing.
+//! HTTP listeners: limits on connections, head sizes and stalled peers, and a graceful shutdown
+//! that lets requests in flight finish.
 
 use std::{
     convert::Infallible,
@@ -31,28 +32,29 @@
     metrics::Metrics,
 };
 
-/// Connections open at one listener.
+/// Maximum number of open connections per listener.
 const MAX_CONNECTIONS: usize = 4096;
-/// How long a connection may be idle, and a request's head may take to arrive.
+/// Time limit for an idle connection, and for the arrival of a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// A peer that takes no bytes for this long is cut.
-const WRITE_STALL: Duration = Duration::from_secs(60);
-/// Most bytes of one read. hyper doubles a connection's buffer, up to the longest head, each time a read
-/// fills it, and keeps it as long as the connection is open: after one long body each caller's idle
-/// connection held 120 KiB. One byte less than its first buffer never fills it.
-const READ: usize = 8191;
-/// Wait after the system refused to accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// A connection whose peer accepts no bytes for this long is closed.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of bytes per read. hyper doubles a connection's buffer, up to the longest head,
+/// each time a read fills it, and keeps it while the connection is open: after one long body each
+/// caller's idle connection held 120 KiB. Reads one byte shorter than hyper's first buffer (8192
+/// bytes) never fill it.
+const MAX_READ_BYTES: usize = 8191;
+/// Delay before the next `accept` after one failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A stream whose writes fail when the other side takes nothing for long.
-struct Stalling {
+/// A TCP stream whose writes fail after [`WRITE_STALL_TIMEOUT`] without progress.
+struct WriteTimeoutStream {
     stream: TcpStream,
     timer: Option<Pin<Box<Sleep>>>,
     scanner: Scanner,
 }
 
-impl Stalling {
-    fn watch<T>(
+impl WriteTimeoutStream {
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
         polled: Poll<io::Result<T>>,
@@ -61,7 +63,7 @@
             self.timer = None;
             return polled;
         }
-        let deadline = Instant::now() + WRITE_STALL;
+        let deadline = Instant::now() + WRITE_STALL_TIMEOUT;
         let timer = self
             .timer
             .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(deadline)));
@@ -72,13 +74,13 @@
     }
 }
 
-impl AsyncRead for Stalling {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let most = READ.min(buffer.remaining());
+        let most = MAX_READ_BYTES.min(buffer.remaining());
         let mut part = ReadBuf::new(buffer.initialize_unfilled_to(most));
         let polled = Pin::new(&mut self.stream).poll_read(cx, &mut part);
         self.scanner.read(part.filled());
@@ -88,14 +90,14 @@
     }
 }
 
-impl AsyncWrite for Stalling {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.watch(cx, polled)
+        self.check_stall(cx, polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -112,7 +114,7 @@
         bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bytes);
-        self.watch(cx, polled)
+        self.check_stall(cx, polled)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -120,14 +122,14 @@
     }
 }
 
-/// Binds `address`.
+/// Binds a listener to `address`; `name` describes its clients in the error message.
 pub(crate) async fn bind(address: SocketAddr, name: &str) -> eyre::Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .wrap_err_with(|| format!("cannot listen for {name} on {address}"))
 }
 
-/// Serves `listener` until `stop`, then ends when the last request in flight has its answer.
+/// Accepts connections until `stop` is true, then returns once all requests in flight are answered.
 pub(crate) async fn run<F, Fut>(
     listener: TcpListener,
     max_head: usize,
@@ -139,7 +141,7 @@
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -149,11 +151,11 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!("http: accept: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             metrics.refused_connections.inc();
             continue;
         };
@@ -169,13 +171,13 @@
             async move {
                 let response = match answer {
                     Some(answer) => answer.await,
-                    None => head::ambiguous(),
+                    None => head::ambiguous_length(),
                 };
-                flags.answered();
+                flags.mark_answered();
                 Ok::<_, Infallible>(response)
             }
         });
-        let stream = Stalling {
+        let stream = WriteTimeoutStream {
             stream,
             timer: None,
             scanner,
@@ -193,7 +195,7 @@
                 log::debug!("http: connection: {error}");
             }
             open.dec();
-            drop(place);
+            drop(permit);
         });
     }
     drop(listener);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Streams on their way through: what brings them, how they end, and how they go on elsewhere.
+//! Response streams on their way to the caller: reading, end detection and resumption elsewhere.
 
 use std::{
     pin::Pin,
@@ -16,14 +16,14 @@
 
 use crate::{
     gateway::{
-        attempt::Found,
+        attempt::Upstream,
         clock::Moment,
         core::{Handle, Order},
         delimiter::Delimiter,
         dial::Lease,
         metrics::Metrics,
         records::Gap,
-        resume::{Next, Resume},
+        resume::{AttemptOutcome, Resume},
         signs::Pulse,
         trace::Span,
     },
@@ -32,93 +32,95 @@
     unit::Millis,
 };
 
-/// A stream without a byte for this long is cut.
-pub(crate) const STALL: Duration = Duration::from_secs(60);
+/// A stream that delivers no byte for this long is cut.
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The answer ended before it was whole; hyper then closes the connection without its last chunk.
+/// The error for a response that ended before it was complete; hyper then closes the connection
+/// without a last chunk.
 #[derive(Debug)]
-pub struct Cut;
+pub struct Truncated;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer was cut short")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
-/// The attempt that brings an answer.
+/// The attempt that supplies a response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Source {
     pub(crate) request: id::Request,
     pub(crate) attempt: id::Attempt,
 }
 
-/// A step of a body.
+/// One step of reading a body.
 pub(crate) enum Piece {
-    /// Some bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The whole end.
+    /// The end of a complete body.
     End,
-    /// An end before the whole.
-    Cut,
-    /// An order to break it off.
-    Stopped,
-    /// An order to leave its place and to go on elsewhere.
-    Left,
+    /// The end of a truncated body.
+    Truncated,
+    /// An order to abort the stream.
+    Aborted,
+    /// An order to continue the stream at another backend server, or the end of a stopped run.
+    Moving,
 }
 
-/// How a stream that left its place goes on.
-enum Onward {
-    Goes,
-    /// It had come to its end.
-    Whole,
-    Nowhere,
+/// The result of moving a stream to another backend server.
+enum MoveOutcome {
+    Resumed,
+    /// The stream was already complete.
+    Complete,
+    Failed,
 }
 
-/// When the pieces of an answer came.
+/// Arrival times of the pieces of a response.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
-    /// When its request came.
-    came: Moment,
-    /// From then to the beginning of the answer.
-    first: Duration,
-    /// The last piece, or the beginning.
+struct PieceTimes {
+    /// When the request was received.
+    received_at: Moment,
+    /// Time from then to the start of the response.
+    first_byte: Duration,
+    /// Arrival of the last piece, or the start of the response.
     last: Moment,
-    /// The longest time between two pieces.
-    pause: Duration,
+    /// Longest time between two pieces.
+    longest_gap: Duration,
 }
 
-impl Pace {
-    /// An answer that begins now.
-    fn begin(came: Moment) -> Self {
+impl PieceTimes {
+    /// Creates the times of a response that starts now.
+    fn begin(received_at: Moment) -> Self {
         let now = Moment::now();
         Self {
-            came,
-            first: now - came,
+            received_at,
+            first_byte: now - received_at,
             last: now,
-            pause: Duration::ZERO,
+            longest_gap: Duration::ZERO,
         }
     }
 
-    /// Notes a piece that comes at `now`.
-    fn piece(&mut self, now: Moment) {
-        self.pause = self.pause.max(now - self.last);
+    /// Records a piece that arrived at `now`.
+    fn record_piece(&mut self, now: Moment) {
+        self.longest_gap = self.longest_gap.max(now - self.last);
         self.last = now;
     }
 
-    /// How it came, as of now.
+    /// Returns the timing of the response so far.
     fn timing(&self) -> Timing {
         let millis = |span: Duration| Millis(span.as_millis() as u64);
         Timing {
-            first: millis(self.first),
-            whole: millis(self.came.elapsed()),
-            pause: millis(self.pause),
+            first: millis(self.first_byte),
+            whole: millis(self.received_at.elapsed()),
+            pause: millis(self.longest_gap),
         }
     }
 }
 
-/// A body on its way through; its end, or its drop, is told to the reducer once.
+/// A response body on its way to the caller. Its end, or its drop, is reported to the reducer
+/// exactly once.
 pub struct Stream {
     incoming: Incoming,
     lease: Option<Lease>,
@@ -128,12 +130,12 @@
     delimiter: Delimiter,
     metrics: Arc<Metrics>,
     stall: Pin<Box<Sleep>>,
-    pace: Pace,
-    /// Its word on the backend server that brings it, where this box listens to that.
+    times: PieceTimes,
+    /// Reports liveness of the backend server that supplies the stream; none for other boxes.
     pub(crate) pulse: Option<Pulse>,
-    /// What it needs to go on at another place, where it may.
+    /// State for resuming the stream elsewhere, if that is allowed.
     pub(super) resume: Option<Box<Resume>>,
-    /// Whether it is on its way to another place.
+    /// Whether the stream is waiting for its next attempt.
     moving: bool,
     done: bool,
     _span: Span,
@@ -141,38 +143,39 @@
 
 impl Stream {
     pub(crate) fn new(
-        found: Found,
+        upstream: Upstream,
         core: Handle,
         metrics: Arc<Metrics>,
         orders: mpsc::UnboundedReceiver<Order>,
         source: Source,
-        came: Moment,
+        received_at: Moment,
         resume: Option<Resume>,
     ) -> Self {
         Self {
-            delimiter: found.delimiter,
+            delimiter: upstream.delimiter,
             metrics,
             pulse: None,
-            pace: Pace::begin(came),
-            incoming: found.response.into_body(),
-            lease: Some(found.lease),
+            times: PieceTimes::begin(received_at),
+            incoming: upstream.response.into_body(),
+            lease: Some(upstream.lease),
             core,
             orders,
             source,
-            stall: Box::pin(sleep(STALL)),
+            stall: Box::pin(sleep(STALL_TIMEOUT)),
             resume: resume.map(Box::new),
             moving: false,
             done: false,
-            _span: found.span,
+            _span: upstream.span,
         }
     }
 
-    /// Whether its end was told.
+    /// Reports whether the end was reported to the reducer.
     pub(crate) fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Tells the reducer how the answer ended; a whole one leaves its connection for others.
+    /// Reports the end of the response to the reducer. The connection of a complete response
+    /// returns to the pool, unless its close marked the end.
     pub(crate) fn end(&mut self, whole: bool) {
         self.done = true;
         let reusable = whole && !self.delimiter.is_close();
@@ -184,53 +187,53 @@
             request,
             attempt,
             whole,
-            timing: self.pace.timing(),
+            timing: self.times.timing(),
         });
     }
 
-    /// The next piece; the one who reads it calls [`Stream::end`] at the end.
+    /// Reads the next piece; the caller of this function calls [`Stream::end`] at the end.
     pub(crate) fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Piece> {
-        while !self.is_leaving()
+        while !self.is_draining()
             && let Poll::Ready(Some(order)) = self.orders.poll_recv(cx)
         {
-            let crossed = match order {
-                Order::Stopping | Order::Send(_) => self.stop(order),
-                Order::Leave if self.resume.as_ref().is_some_and(|r| r.may_leave()) => {
-                    return Poll::Ready(Piece::Left);
+            let handled = match order {
+                Order::Stopping | Order::Send(_) => self.handle_stop_order(order),
+                Order::Leave if self.resume.as_ref().is_some_and(|r| r.can_move()) => {
+                    return Poll::Ready(Piece::Moving);
                 }
-                Order::Abort | Order::Leave => self.stay(),
+                Order::Abort | Order::Leave => self.adopt_next_attempt(),
                 _ => false,
             };
-            if !crossed {
-                return Poll::Ready(Piece::Stopped);
+            if !handled {
+                return Poll::Ready(Piece::Aborted);
             }
         }
         loop {
             match Pin::new(&mut self.incoming).poll_frame(cx) {
-                Poll::Pending if self.is_leaving() => {
+                Poll::Pending if self.is_draining() => {
                     let resume = self.resume.as_mut();
                     let stop = resume.map(|resume| &mut resume.stop);
-                    ready!(stop.map_or(Poll::Ready(()), |stop| stop.poll_over(cx)));
-                    return Poll::Ready(Piece::Left);
+                    ready!(stop.map_or(Poll::Ready(()), |stop| stop.poll_drained(cx)));
+                    return Poll::Ready(Piece::Moving);
                 }
                 Poll::Pending => {
                     ready!(self.stall.as_mut().poll(cx));
-                    return Poll::Ready(Piece::Cut);
+                    return Poll::Ready(Piece::Truncated);
                 }
                 Poll::Ready(Some(Ok(frame))) => {
                     let now = Moment::now();
-                    self.pace.piece(now);
+                    self.times.record_piece(now);
                     if let Some(pulse) = &mut self.pulse {
                         pulse.note(now);
                     }
-                    self.stall.as_mut().reset(Instant::now() + STALL);
+                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     let bytes = frame.into_data().unwrap_or_default();
                     match self.delimiter.read(bytes) {
                         Ok(bytes) if bytes.is_empty() => {}
                         Ok(bytes) => return Poll::Ready(Piece::Data(bytes)),
                         Err(gap) => {
-                            self.note_gap(gap);
-                            return Poll::Ready(Piece::Cut);
+                            self.record_gap(gap);
+                            return Poll::Ready(Piece::Truncated);
                         }
                     }
                 }
@@ -238,19 +241,20 @@
                     let Source { request, attempt } = self.source;
                     let number = attempt.0;
                     log::info!("stream: box_id={request} attempt={number} cut error={error:?}");
-                    return Poll::Ready(Piece::Cut);
+                    return Poll::Ready(Piece::Truncated);
                 }
                 Poll::Ready(None) => {
                     let whole = self.delimiter.is_whole();
-                    self.note_close(whole);
-                    return Poll::Ready(if whole { Piece::End } else { Piece::Cut });
+                    self.record_close(whole);
+                    return Poll::Ready(if whole { Piece::End } else { Piece::Truncated });
                 }
             }
         }
     }
 
-    /// Tells how an answer that ended with its connection is taken.
-    fn note_close(&self, whole: bool) {
+    /// Counts and logs how the end of a response that was delimited by the close of its connection
+    /// was classified.
+    fn record_close(&self, whole: bool) {
         if !self.delimiter.is_close() {
             return;
         }
@@ -265,7 +269,7 @@
         );
     }
 
-    fn note_gap(&self, gap: Gap) {
+    fn record_gap(&self, gap: Gap) {
         self.metrics.relay_gaps.inc();
         let Source { request, attempt } = self.source;
         let number = attempt.0;
@@ -275,65 +279,76 @@
         );
     }
 
-    /// Stays with an answer that began while the reducer decided to try elsewhere: the order to abort
-    /// is followed by one to send, which is not carried out. The answer goes on under the number of
-    /// that attempt; false where there is none, and the answer is to be broken off.
-    fn stay(&mut self) -> bool {
+    /// Keeps a response that began while the reducer decided to try elsewhere. The order to abort
+    /// is followed by one to send, which is not carried out: the response continues under the
+    /// number of that attempt. Returns false if there is no such order, and the response has to be
+    /// aborted.
+    fn adopt_next_attempt(&mut self) -> bool {
         let Ok(Order::Send(send)) = self.orders.try_recv() else {
             return false;
         };
         let Source { request, .. } = self.source;
         let attempt = send.attempt;
         let number = attempt.0;
-        log::info!("stream: box_id={request} attempt={number} is not sent: an answer had begun");
+        log::info!(
+            "stream: box_id={request} attempt={number} not sent: a response had already begun"
+        );
         self.source.attempt = attempt;
         self.core.tell(Event::Begun { request, attempt });
         true
     }
 
-    /// What of it may be passed on next; none at the end.
-    pub(crate) fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    /// Polls for the next bytes that may be forwarded; none at the end.
+    pub(crate) fn poll_next(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Truncated>>> {
         loop {
             if self.done {
                 return Poll::Ready(None);
             }
             if self.moving {
                 match ready!(self.poll_move(cx)) {
-                    Onward::Goes => {}
-                    Onward::Whole => return Poll::Ready(self.finish().map(Ok)),
-                    Onward::Nowhere => {
+                    MoveOutcome::Resumed => {}
+                    MoveOutcome::Complete => return Poll::Ready(self.finish().map(Ok)),
+                    MoveOutcome::Failed => {
                         self.end(false);
-                        return Poll::Ready(Some(Err(Cut)));
+                        return Poll::Ready(Some(Err(Truncated)));
                     }
                 }
             }
             let next = match ready!(self.poll_piece(cx)) {
-                Piece::Data(bytes) => self.data(bytes).map(Ok),
-                Piece::End if self.delimiter.is_close() && self.is_stopping() => {
-                    self.leave();
-                    if !self.set_off() {
+                Piece::Data(bytes) => self.deliverable(bytes).map(Ok),
+                Piece::End if self.delimiter.is_close() && self.is_stop_requested() => {
+                    self.release_connection();
+                    if !self.start_next_attempt() {
                         let Source { request, attempt } = self.source;
                         self.core.tell(Event::Closed { request, attempt });
                     }
                     None
                 }
                 Piece::End => self.finish().map(Ok),
-                Piece::Cut if self.resume.as_ref().is_some_and(|r| r.outlives_cut()) => {
-                    self.leave();
-                    if !self.set_off() {
+                Piece::Truncated
+                    if self
+                        .resume
+                        .as_ref()
+                        .is_some_and(|r| r.can_resume_after_cut()) =>
+                {
+                    self.release_connection();
+                    if !self.start_next_attempt() {
                         let Source { request, attempt } = self.source;
                         self.core.tell(Event::Broke { request, attempt });
                     }
                     None
                 }
-                Piece::Left => {
-                    self.leave();
-                    self.set_off();
+                Piece::Moving => {
+                    self.release_connection();
+                    self.start_next_attempt();
                     None
                 }
-                Piece::Cut | Piece::Stopped => {
+                Piece::Truncated | Piece::Aborted => {
                     self.end(false);
-                    Some(Err(Cut))
+                    Some(Err(Truncated))
                 }
             };
             if next.is_some() {
@@ -342,10 +357,10 @@
         }
     }
 
-    /// The part of `bytes` that may be passed on now.
-    fn data(&mut self, bytes: Bytes) -> Option<Bytes> {
+    /// Returns the part of `bytes` that may be forwarded now.
+    fn deliverable(&mut self, bytes: Bytes) -> Option<Bytes> {
         if self.incoming.is_end_stream() {
-            // Nobody asks again for a body whose length is told.
+            // hyper does not poll a body of known length again after its last byte.
             self.end(true);
             return Some(bytes);
         }
@@ -355,16 +370,17 @@
         Some(resume.events.push(bytes)).filter(|whole| !whole.is_empty())
     }
 
-    /// Leaves the place that brought the stream; the reducer says where it goes on.
-    fn leave(&mut self) {
+    /// Drops the connection that supplied the stream; the reducer decides where it continues.
+    fn release_connection(&mut self) {
         self.lease = None;
         self.moving = true;
     }
 
-    /// Goes on at another place, or finds out that there is none or no need.
-    fn poll_move(&mut self, cx: &mut Context<'_>) -> Poll<Onward> {
+    /// Polls until the stream continues with the response of its next attempt, or it is decided
+    /// that the stream is complete or cannot continue.
+    fn poll_move(&mut self, cx: &mut Context<'_>) -> Poll<MoveOutcome> {
         let Some(resume) = &mut self.resume else {
-            return Poll::Ready(Onward::Nowhere);
+            return Poll::Ready(MoveOutcome::Failed);
         };
         let request = self.source.request;
         loop {
@@ -379,26 +395,26 @@
                     continue;
                 }
                 Poll::Ready(Some(Order::Stopping)) => continue,
-                Poll::Ready(Some(Order::Close)) => return Poll::Ready(Onward::Whole),
-                Poll::Ready(_) => return Poll::Ready(Onward::Nowhere),
+                Poll::Ready(Some(Order::Close)) => return Poll::Ready(MoveOutcome::Complete),
+                Poll::Ready(_) => return Poll::Ready(MoveOutcome::Failed),
                 Poll::Pending => {}
             }
             let attempt = self.source.attempt;
             match ready!(resume.poll(cx)) {
-                Next::Found(found) => {
+                AttemptOutcome::Answered(upstream) => {
                     self.core.tell(Event::Begun { request, attempt });
-                    self.delimiter = found.delimiter;
-                    self.incoming = found.response.into_body();
-                    self.lease = Some(found.lease);
+                    self.delimiter = upstream.delimiter;
+                    self.incoming = upstream.response.into_body();
+                    self.lease = Some(upstream.lease);
                     let now = Moment::now();
                     if let Some(pulse) = &mut self.pulse {
                         pulse.begin(now);
                     }
-                    self.stall.as_mut().reset(Instant::now() + STALL);
+                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     self.moving = false;
-                    return Poll::Ready(Onward::Goes);
+                    return Poll::Ready(MoveOutcome::Resumed);
                 }
-                Next::Missed(verdict, cause) => self.core.tell(Event::Failed {
+                AttemptOutcome::Failed(verdict, cause) => self.core.tell(Event::Failed {
                     request,
                     attempt,
                     verdict,
