--- a/src/reducer/allot.rs
+++ b/src/reducer/allot.rs
@@ -1,15 +1,16 @@
-//! What a customer may still use of its allotment: what this box knows of the others' use, and the part
-//! that the boxes which hear each other may spend.
+//! Allotment checks: the known use by other boxes, and the part of an allotment that boxes which
+//! hear each other may spend.
 //!
-//! Load pattern: regions lose each other for seconds, or single boxes lose all others, while a customer
-//! sends more than its allotment everywhere. Each side that went on with the whole would let three times
-//! the allotment through. So a side spends the parts of the regions and failure domains that it hears,
-//! and leaves the others theirs, from the moment at which their word gets old until it comes again: a
-//! region that is silent cannot be told from one that is lost.
+//! Load pattern: regions lose contact for seconds, or single boxes lose all others, while a
+//! customer sends more than its allotment everywhere. If each side went on with the whole
+//! allotment, three times the allotment would pass. So each side spends only the parts of the
+//! regions and failure domains that it hears, from the moment their reports become stale until they
+//! arrive again: a silent region cannot be told from a lost one.
 //!
-//! A region's part is half its share of the backend servers, which all boxes know alike, and half its
-//! share of the customer's use while all regions heard each other: a region at its peak has nine tenths
-//! of the use, and would refuse what it may serve by its servers' share alone.
+//! A region's part is half its share of the backend servers, which all boxes know alike, and half
+//! its share of the customer's use while all regions heard each other. A region at its peak has
+//! nine tenths of the use; its share of the servers alone would make it refuse requests that it may
+//! serve.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -31,29 +32,30 @@
     wire::{Short, Use},
 };
 
-/// Part of a region's share that follows the customer's use; the rest follows the backend servers.
-const BY_USE: f64 = 0.5;
-/// The part of its own use that a box which just started presumes at each other one of its region: all of it
-/// would refuse calm customers after a long prompt.
-const PRESUMED: f64 = 0.5;
-/// For how long it does: the boxes of its region tell it of theirs within that time.
-const UNHEARD: Millis = Millis(1000);
-/// Time between two looks at where customers' use is.
-const SPLIT_PERIOD: Millis = Millis(1000);
-/// Weight of the last look: a region's hours change within some seconds at the fastest.
-const SPLIT_ALPHA: f64 = 0.2;
-
-/// Where each customer's use was, while all regions heard each other.
+/// Weight of the customer's use in a region's share; the rest follows the backend servers.
+const USE_WEIGHT: f64 = 0.5;
+/// Share of its own use that a newly started box assumes for each other box of its region. Assuming
+/// all of it would refuse customers within their allotment after a long prompt.
+const ASSUMED_USE_SHARE: f64 = 0.5;
+/// How long after the start use is assumed: the boxes of the region report theirs within that time.
+const ASSUMPTION_PERIOD: Millis = Millis(1000);
+/// Time between two samples of how customers' use is distributed.
+const SAMPLE_PERIOD: Millis = Millis(1000);
+/// Weight of the newest sample in the moving average: a region's share of the use changes over some
+/// seconds at the fastest.
+const SAMPLE_ALPHA: f64 = 0.2;
+
+/// How each customer's use was distributed over the regions while all regions heard each other.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Splits {
     uses: HashMap<id::Customer, BTreeMap<Region, f64>>,
-    last: Option<Time>,
-    /// The parts of regions whose use is not heard of now.
-    gaps: Vec<(Region, f64)>,
+    last_sample: Option<Time>,
+    /// The fraction of each region's boxes whose use is currently not heard.
+    unheard_parts: Vec<(Region, f64)>,
 }
 
 impl Splits {
-    /// The share of `region` in a customer's use; none where nothing is known.
+    /// Returns the share of `region` in a customer's use, or `None` if nothing is known.
     fn share(&self, customer: &id::Customer, region: &Region) -> Option<f64> {
         let uses = self.uses.get(customer)?;
         let all: f64 = uses.values().sum();
@@ -63,7 +65,7 @@
 }
 
 impl Job {
-    /// Notes that the last run did not take place.
+    /// Records that the last run did not take place, so that its booking is free again.
     pub(super) fn unspend(&mut self) {
         if let Some(booking) = &mut self.booking {
             booking.spent = false;
@@ -72,7 +74,7 @@
 }
 
 impl<P: Policy> State<P> {
-    /// Takes a fresh request off its customer's allotment.
+    /// Charges a new request to its customer's allotment, or returns the refusal.
     pub(super) fn charge(
         &mut self,
         now: Time,
@@ -102,7 +104,7 @@
         }))
     }
 
-    /// Notes that a run of `request` begins: one beyond the first is booked anew.
+    /// Records that a run of `request` begins; each run beyond the first is booked again.
     pub(super) fn book_run(&mut self, now: Time, request: id::Request) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Gives back what a request took that surely did not run.
+    /// Refunds the booking of a request that certainly did not run.
     pub(super) fn give_back(&mut self, job: &Job) {
         if let Some(booking) = job.booking.filter(|booking| !booking.spent) {
             let customer = &job.ask.customer;
@@ -129,49 +131,58 @@
         }
     }
 
-    /// What this box knows of the others' use of a customer's allotment.
+    /// Returns what this box knows of the other boxes' use of a customer's allotment.
     fn knowledge(&self, now: Time, customer: &id::Customer) -> Knowledge {
         let short = Short::of(customer.as_str());
-        let young = now < Time(0) + JOIN_GRACE;
+        let just_started = now < Time(0) + JOIN_GRACE;
         let here = match self.table.use_here(short, now) {
             Some(here) => here,
-            None if young => Sum::default(),
+            None if just_started => Sum::default(),
             None => return Knowledge::Alone(self.table.known_boxes()),
         };
         let mut others = here;
         for (_, remote) in self.table.reachable(now) {
-            let told = Use::find(&remote.digest.uses, short);
-            told.into_iter().for_each(|told| others.add(told));
+            let reported = Use::find(&remote.digest.uses, short);
+            reported
+                .into_iter()
+                .for_each(|reported| others.add(reported));
         }
-        if now < Time(0) + UNHEARD {
-            others = others.max(self.presumed(now, customer));
+        if now < Time(0) + ASSUMPTION_PERIOD {
+            others = others.max(self.assumed_use(now, customer));
         }
-        let part = if young { 1.0 } else { self.part(customer) };
+        let part = if just_started {
+            1.0
+        } else {
+            self.spendable_part(customer)
+        };
         Knowledge::Heard { others, part }
     }
 
-    /// What the other boxes of the region use by what comes here, for as long as this box has not heard all:
-    /// where all boxes start at once, each would let in what the others let in as well.
-    fn presumed(&self, now: Time, customer: &id::Customer) -> Sum {
+    /// Estimates the use by the other boxes of the region from this box's own, until it has heard
+    /// from them: if all boxes start at once, each would otherwise admit as much as all of them may
+    /// together.
+    fn assumed_use(&self, now: Time, customer: &id::Customer) -> Sum {
         let own = self.accounts.sum(customer, now);
-        let others = PRESUMED * self.table.peers().count() as f64;
+        let others = ASSUMED_USE_SHARE * self.table.peers().count() as f64;
         Sum {
             used: own.used * others,
             offered: own.offered * others,
         }
     }
 
-    /// The part of a customer's allotment that the boxes may spend which this one hears of.
-    fn part(&self, customer: &id::Customer) -> f64 {
-        let gaps = self.splits.gaps.iter();
-        let lost: f64 = gaps.map(|(r, gap)| gap * self.share(customer, r)).sum();
+    /// Returns the part of a customer's allotment that the boxes which this one hears may spend.
+    fn spendable_part(&self, customer: &id::Customer) -> f64 {
+        let unheard_parts = self.splits.unheard_parts.iter();
+        let lost: f64 = unheard_parts
+            .map(|(r, unheard_part)| unheard_part * self.share(customer, r))
+            .sum();
         (1.0 - lost).max(0.0)
     }
 
-    /// The parts of regions whose use this box does not hear of.
-    fn gaps(&self, now: Time) -> Vec<(Region, f64)> {
+    /// Returns, for each region, the fraction of its boxes whose use this box does not hear.
+    fn unheard_parts(&self, now: Time) -> Vec<(Region, f64)> {
         let mine = &self.table.me.region;
-        let gap = |region: &Region| match () {
+        let unheard_part = |region: &Region| match () {
             () if region == mine => 1.0 - self.table.cover(now),
             () if !self.table.is_reachable(region, now) => 1.0,
             () => {
@@ -180,11 +191,13 @@
             }
         };
         let configured = self.config.iter().flat_map(|c| c.regions.keys());
-        let gaps = configured.map(|region| (region.clone(), gap(region)));
-        gaps.filter(|(_, gap)| *gap > 0.0).collect()
+        let unheard_parts = configured.map(|region| (region.clone(), unheard_part(region)));
+        unheard_parts
+            .filter(|(_, unheard_part)| *unheard_part > 0.0)
+            .collect()
     }
 
-    /// How the customers' allotments are used, as far as this box knows.
+    /// Returns how the customers' allotments are used, as far as this box knows.
     pub fn allotments(&self, now: Time) -> Vec<Allotted> {
         let customers = self.config.iter().flat_map(|c| c.customers.values());
         let allotted = customers.filter_map(|customer| {
@@ -212,21 +225,21 @@
         allotted
     }
 
-    /// A region's share of a customer's allotment.
+    /// Returns a region's share of a customer's allotment.
     fn share(&self, customer: &id::Customer, region: &Region) -> f64 {
         let by_servers = self.fleet.share(region);
         let by_use = self.splits.share(customer, region).unwrap_or(by_servers);
-        BY_USE * by_use + (1.0 - BY_USE) * by_servers
+        USE_WEIGHT * by_use + (1.0 - USE_WEIGHT) * by_servers
     }
 
-    /// Looks where customers' use is, as long as all regions hear each other.
+    /// Updates how customers' use is distributed, as long as all regions hear each other.
     pub(super) fn split_allotments(&mut self, now: Time) {
         let Some(config) = self.config.clone().filter(|c| c.is_limited()) else {
             return;
         };
-        self.splits.gaps = self.gaps(now);
-        let due = Control::due(&mut self.splits.last, SPLIT_PERIOD, now);
-        if !due || !self.splits.gaps.is_empty() {
+        self.splits.unheard_parts = self.unheard_parts(now);
+        let due = Control::due(&mut self.splits.last_sample, SAMPLE_PERIOD, now);
+        if !due || !self.splits.unheard_parts.is_empty() {
             return;
         }
         let limited = config.customers.values().filter(|c| c.allotment.is_some());
@@ -235,14 +248,17 @@
             let here = self.table.use_here(short, now).unwrap_or_default();
             let own = here.used + self.accounts.sum(&customer.name, now).used;
             let uses = self.splits.uses.entry(customer.name.clone()).or_default();
-            let mut note = |region: &Region, used: f64| {
+            let mut update = |region: &Region, used: f64| {
                 let known = uses.entry(region.clone()).or_insert(used);
-                *known += SPLIT_ALPHA * (used - *known);
+                *known += SAMPLE_ALPHA * (used - *known);
             };
-            note(&self.table.me.region, own);
+            update(&self.table.me.region, own);
             for (region, remote) in self.table.reachable(now) {
-                let told = Use::find(&remote.digest.uses, short);
-                note(region, told.map_or(0.0, |told| f64::from(told.used)));
+                let reported = Use::find(&remote.digest.uses, short);
+                update(
+                    region,
+                    reported.map_or(0.0, |reported| f64::from(reported.used)),
+                );
             }
         }
         let known = |name: &id::Customer| config.customers.contains_key(name);
--- a/src/reducer/cold.rs
+++ b/src/reducer/cold.rs
@@ -1,8 +1,9 @@
-//! The rate of cold backend servers, and this box's share of it.
+//! The request rate of cold backend servers, and this box's share of it.
 //!
-//! A few boxes of a region share the rate of one cold server. They are chosen without a word between
-//! them, so the shares must add up to no more than the rate whatever each box believes at the moment:
-//! a box that may still send is counted, and only one that surely sends nothing any more is not.
+//! A few boxes of a region share the rate of one cold server. They are chosen without
+//! communication, so the shares must not exceed the rate in sum, whatever each box believes at the
+//! moment: a box that may still send is counted, and only one that certainly sends nothing any more
+//! is left out.
 
 use crate::{
     config::{Backend, Config},
@@ -13,60 +14,66 @@
     unit::{Millis, Rate, Time},
 };
 
-/// Boxes of a region that may send to one cold backend server: each may save up one request.
-const SENDERS: usize = 3;
-/// Part of a cold backend server's rate that is used: boxes may disagree on who sends.
-const SAFETY: f64 = 0.8;
-/// How long a box keeps its share after it should have been heard: one that stood still for less than
-/// [`FREEZE`](super::FREEZE) does not notice, and goes on with it. Longer than the store may be silent
-/// before it counts as lost, so that a box that is cut off from everything never takes more.
-pub(super) const KEPT: Millis = Millis(5000);
+/// Number of boxes of a region that may send to one cold backend server; each may save up one
+/// request.
+const MAX_SENDERS: usize = 3;
+/// Share of a cold backend server's rate that is used, because boxes may disagree on who sends.
+const RATE_SAFETY_FACTOR: f64 = 0.8;
+/// How long a box keeps its share after its heartbeat was due. A box that was suspended for less
+/// than [`FREEZE`](super::FREEZE) does not notice and goes on using its share. Longer than the
+/// store may be silent before it counts as lost, so that a box that is cut off from everything
+/// never takes more.
+pub(super) const SHARE_RETENTION: Millis = Millis(5000);
 
 impl<P: Policy> State<P> {
-    /// What this box may send a second to one cold backend server of `service`.
+    /// Returns the rate at which this box may send to one cold backend server of `service`, or
+    /// `None` if the service sets no rate.
     ///
-    /// Boxes that stop send until they end, so they keep their share: divided among those alone that
-    /// take work, a server got 2.5 times its rate while three of four boxes were stopping (`sent`
-    /// lines of a run). A box that hears neither the store nor its neighbours cannot tell whether they
-    /// are dead, and leaves them theirs. A box that just started sends nothing: until it has heard of
-    /// the others it would take itself for one of the few, and so would all that start with it.
+    /// Stopping boxes send until they end, so they keep their share: when the rate was divided
+    /// among the boxes that take work alone, a server got 2.5 times its rate while three of four
+    /// boxes were stopping. A box that hears neither the store nor its neighbours cannot tell
+    /// whether they are dead, so it leaves them their shares. A box that just started sends
+    /// nothing: until it has heard the others it would count itself among the few senders, as would
+    /// all boxes that start with it.
     fn cold_rate(&self, now: Time, config: &Config, service: &Service) -> Option<Rate> {
         let profile = config.profiles.get(service)?;
         let rate = profile.cold_rate?;
         if !self.knows_region(now) {
             return Some(Rate(0.0));
         }
-        let kept = match self.hears_store(now) {
-            true => KEPT,
+        let retention = match self.hears_store(now) {
+            true => SHARE_RETENTION,
             false => FORGET,
         };
-        let (rank, boxes) = self.table.standing(service.as_str(), |_| kept, now);
-        let senders = SENDERS.min(boxes);
-        let share = SAFETY * rate.0 / senders as f64;
+        let (rank, boxes) = self.table.standing(service.as_str(), |_| retention, now);
+        let senders = MAX_SENDERS.min(boxes);
+        let share = RATE_SAFETY_FACTOR * rate.0 / senders as f64;
         Some(Rate(if rank < senders { share } else { 0.0 }))
     }
 
-    /// Whether this box has run, without standing still, for long enough to know the other boxes of
-    /// its region.
+    /// Reports whether this box has run without a suspension for long enough to know the other
+    /// boxes of its region.
     pub(super) fn knows_region(&self, now: Time) -> bool {
         now >= Time(0) + JOIN_GRACE && self.control.is_awake_for(JOIN_GRACE, now)
     }
 
-    /// Whether this box hears nobody, neither the store nor any box that it knew: a domain may be under
-    /// evacuation, and its servers cold, without its knowledge. A box that never had others, or a
-    /// region whose boxes hear each other, is not cut off in this sense.
+    /// Reports whether this box is isolated: it hears neither the store nor any box that it knew. A
+    /// failure domain may then be evacuated, and its servers cold, without its knowledge. A box
+    /// that never had peers, or one in a region whose boxes hear each other, is not isolated in
+    /// this sense.
     pub(super) fn hears_nobody(&self, now: Time) -> bool {
         let had_others = self.table.peers().next().is_some();
         had_others && !self.hears_store(now) && self.table.live(now).next().is_none()
     }
 
-    /// Whether `name` is cold, as far as this box can know. One that hears nobody takes all servers for
-    /// cold: a cold server got 23 requests in a second from one such box, where 17.5 were allowed.
+    /// Reports whether `name` is cold as far as this box knows. An isolated box treats all servers
+    /// as cold: a cold server got 23 requests in a second from one such box, where 17.5 were
+    /// allowed.
     pub(super) fn counts_as_cold(&self, now: Time, name: &id::Backend) -> bool {
         self.fleet.is_cold(name, now) || self.hears_nobody(now)
     }
 
-    /// Whether `backend` is warm, or may get a request for `service` all the same.
+    /// Reports whether `backend` is warm, or cold but within its rate for `service`.
     pub(super) fn admits(
         &self,
         now: Time,
@@ -84,7 +91,8 @@
         rate.0 > 0.0 && server.is_none_or(|s| s.admits_cold(rate, now))
     }
 
-    /// Slots that stand for what a cold server bears where answers take `whole`; none where it is warm.
+    /// Returns how many requests a cold server can run at once if a whole answer takes `whole`;
+    /// `None` if it is warm or the service sets no rate.
     pub(super) fn cold_slots(
         &self,
         now: Time,
@@ -100,7 +108,7 @@
         Some(running as u32)
     }
 
-    /// Counts a request to `name` against its rate while it is cold.
+    /// Charges a request to `name` against its rate if the server is cold.
     pub(super) fn charge_cold(&mut self, now: Time, service: &Service, name: &id::Backend) {
         if !self.counts_as_cold(now, name) {
             return;
--- a/src/reducer/departure.rs
+++ b/src/reducer/departure.rs
@@ -1,8 +1,9 @@
-//! Backend servers that say in their answers that they leave, and what the boxes of a region tell each other
-//! of it.
+//! Backend servers that announce in their answers that they are leaving, and how the boxes of a
+//! region share this.
 //!
-//! Load pattern: a server leaves while the platform's store is away, so that its registration says for seconds
-//! that it takes work. A box that sends nothing there is not told, and would send its first request there.
+//! Load pattern: a server leaves while the platform's store is unavailable, so its registration
+//! still lists it as ready for seconds. A box without traffic to that server does not see the
+//! announcement, and would send its first request there.
 
 use crate::{
     id::{self, BoxName, Incarnation},
@@ -15,11 +16,11 @@
     wire::{Body, Departure, Short},
 };
 
-/// Servers that one message tells of, those that said it last first: 13 bytes each.
-const MAX_TOLD: usize = 48;
+/// Maximum number of servers in one message, the most recent announcements first: 13 bytes each.
+const MAX_DEPARTURES_PER_MESSAGE: usize = 48;
 
 impl<P: Policy> State<P> {
-    /// Takes from an answer of a backend server that it leaves.
+    /// Records that a backend server announced in an answer that it is leaving.
     pub(super) fn hear_departure(
         &mut self,
         now: Time,
@@ -37,7 +38,7 @@
         }));
     }
 
-    /// Takes from another box of the region which backend servers said that they leave.
+    /// Applies the departures received from another box of the region.
     pub(super) fn learn_departures(
         &mut self,
         now: Time,
@@ -45,12 +46,15 @@
         departures: &[Departure],
         out: &mut Vec<Effect>,
     ) {
-        for told in departures.iter().take(MAX_TOLD) {
-            let Some(backend) = self.named_here(told.backend, told.life) else {
+        for departure in departures.iter().take(MAX_DEPARTURES_PER_MESSAGE) {
+            let Some(backend) = self.named_here(departure.backend, departure.life) else {
                 continue;
             };
             let (name, incarnation) = (backend.name.clone(), backend.incarnation);
-            if self.fleet.depart(&name, incarnation, now - told.age, now) {
+            if self
+                .fleet
+                .depart(&name, incarnation, now - departure.age, now)
+            {
                 out.push(Effect::Noted(Note::Departing {
                     backend: name,
                     teller: Some(from.clone()),
@@ -59,8 +63,8 @@
         }
     }
 
-    /// What the others are told with each heartbeat: a box that started, woke or was cut off learns it from
-    /// the first one.
+    /// Returns the departures to send with each heartbeat: a box that started, resumed or was cut
+    /// off learns them from the first one.
     pub(super) fn known_departures(&self, now: Time) -> Vec<Departure> {
         let here = |(backend, _): &(&_, Time)| self.is_here(backend);
         let rows = self.fleet.departing().filter(here);
@@ -71,24 +75,26 @@
         });
         let mut rows: Vec<Departure> = rows.collect();
         rows.sort_unstable_by_key(|row| (row.age, row.backend));
-        rows.truncate(MAX_TOLD);
+        rows.truncate(MAX_DEPARTURES_PER_MESSAGE);
         rows
     }
 
-    /// Tells the boxes of the region at once where this one heard of more servers since it last did.
+    /// Sends the known departures to the boxes of the region at once if any were learned since the
+    /// last time.
     pub(super) fn tell_departures(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !std::mem::take(&mut self.control.departures_untold) {
             return;
         }
         let known = self.known_departures(now);
-        let near = self.table.live(now).map(|peer| peer.last.contact.gossip);
-        let near: Vec<_> = near.collect();
+        let neighbours = self.table.live(now).map(|peer| peer.last.contact.gossip);
+        let neighbours: Vec<_> = neighbours.collect();
         if !known.is_empty() {
-            self.send_all(Body::Departures(known), near, out);
+            self.send_all(Body::Departures(known), neighbours, out);
         }
     }
 
-    /// Backend servers that said that they leave before their registration does, as far as this box knows.
+    /// Returns the number of backend servers known to have announced that they are leaving before
+    /// their registration says so.
     pub fn departing(&self) -> usize {
         self.fleet.departing().count()
     }
--- a/src/reducer/detect.rs
+++ b/src/reducer/detect.rs
@@ -1,7 +1,8 @@
-//! Requests leave backend servers that have failed without a word.
+//! Moves requests away from backend servers that failed without closing their connections.
 //!
-//! Connections to a machine that is gone stay open for seconds. Its streams tell sooner, all together;
-//! those that may be resumed, and requests that may be repeated, then go on elsewhere.
+//! Connections to a machine that is gone stay open for seconds. Its streams show the failure
+//! sooner, because all of them fall silent together. Resumable streams and repeatable requests then
+//! continue elsewhere.
 
 use std::collections::HashMap;
 
@@ -17,16 +18,16 @@
     unit::Time,
 };
 
-/// The attempts in hand at one backend server.
+/// The attempts in flight at one backend server.
 #[derive(Default)]
-struct Load {
+struct BackendLoad {
     attempts: Vec<(id::Request, id::Attempt)>,
-    /// How many of them are streams that have begun.
+    /// The number of these attempts that are streams whose answer has begun.
     streams: usize,
 }
 
 impl<P: Policy> State<P> {
-    /// Takes in which backend servers' streams brought something since the last word.
+    /// Records which backend servers' streams delivered data since the last report.
     pub(super) fn hear_signs(&mut self, now: Time, signs: Vec<Sign>, out: &mut Vec<Effect>) {
         for sign in signs {
             let Some(name) = self.fleet.long(sign.backend) else {
@@ -39,12 +40,13 @@
         }
     }
 
-    /// Looks for backend servers whose streams have fallen silent, and moves what may be moved.
+    /// Detects backend servers whose streams have fallen silent, and moves their requests where
+    /// possible.
     pub(super) fn detect_failed(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let loads = self.loads();
+        let loads_by_backend = self.loads_by_backend();
         let mut failed = Vec::new();
         for (name, server) in &mut self.servers {
-            let streams = loads.get(name).map_or(0, |load| load.streams);
+            let streams = loads_by_backend.get(name).map_or(0, |load| load.streams);
             if server.miss_stream(TICK, streams, now) {
                 out.push(Effect::Noted(Note::Failed(name.clone())));
                 let address = self.fleet.get(name).map(|backend| backend.address);
@@ -56,18 +58,18 @@
         }
         failed.sort_unstable();
         for (name, at) in failed {
-            let Some(load) = loads.get(&name) else {
+            let Some(load) = loads_by_backend.get(&name) else {
                 continue;
             };
             for (request, attempt) in &load.attempts {
-                self.leave_failed(now, *request, *attempt, at, out);
+                self.move_off_failed(now, *request, *attempt, at, out);
             }
         }
     }
 
-    /// What is in hand at each backend server, in the order of the requests.
-    fn loads(&self) -> HashMap<id::Backend, Load> {
-        let mut loads: HashMap<id::Backend, Load> = HashMap::new();
+    /// Returns the attempts in flight at each backend server, ordered by request.
+    fn loads_by_backend(&self) -> HashMap<id::Backend, BackendLoad> {
+        let mut loads_by_backend: HashMap<id::Backend, BackendLoad> = HashMap::new();
         for (request, job) in &self.jobs {
             let Stage::Sent {
                 attempt,
@@ -78,20 +80,20 @@
             else {
                 continue;
             };
-            let load = loads.entry(name.clone()).or_default();
+            let load = loads_by_backend.entry(name.clone()).or_default();
             load.attempts.push((*request, *attempt));
-            // One that is being stopped is silent for that.
+            // A stream that is being stopped is silent for that reason.
             load.streams += usize::from(begun.is_some() && job.stream && !job.is_stopping());
         }
-        for load in loads.values_mut() {
+        for load in loads_by_backend.values_mut() {
             load.attempts.sort_unstable();
         }
-        loads
+        loads_by_backend
     }
 
-    /// Moves a request away from a backend server that failed at `failed`, where it may go on
-    /// elsewhere. What went there later shows whether it is well again, and gets its time.
-    fn leave_failed(
+    /// Moves a request away from a backend server that failed at `failed`, if it may continue
+    /// elsewhere. Attempts sent after the failure stay: they show whether the server has recovered.
+    fn move_off_failed(
         &mut self,
         now: Time,
         request: id::Request,
@@ -99,23 +101,23 @@
         failed: Time,
         out: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.in_hand(request, attempt) else {
+        let Some(in_flight) = self.in_hand(request, attempt) else {
             return;
         };
-        if held.at > failed {
+        if in_flight.at > failed {
             return;
         }
         let job = &self.jobs[&request];
-        if held.has_begun() && job.is_stopping() {
+        if in_flight.has_begun() && job.is_stopping() {
             return;
         }
-        let may_go = if held.has_begun() {
+        let may_move = if in_flight.has_begun() {
             job.resumable
         } else {
             job.repeatable
         };
-        if may_go {
-            self.relocate(now, request, attempt, &held, out);
+        if may_move {
+            self.retry_elsewhere(now, request, attempt, &in_flight, out);
         }
     }
 }
--- a/src/reducer/judge.rs
+++ b/src/reducer/judge.rs
@@ -1,8 +1,9 @@
-//! What the answers of backend servers say of the release that they run.
+//! Judges the release that backend servers run by their answers.
 //!
-//! Load pattern: a release that is rolled out has empty caches, cold servers and a small part of the requests,
-//! so that plain means would call a good one slow. A time counts as slow beside what is typical of the same
-//! route and the same work, both sides by the same measure; servers that are cold or ended say nothing.
+//! Load pattern: a release that is being rolled out has empty caches, cold servers and a small part
+//! of the requests, so that plain means would rate a good release as slow. A time counts as slow
+//! relative to what is typical of the same route and the same amount of work, by the same measure
+//! for both releases. Servers that are cold or have crashed are left out.
 
 use crate::{
     config::Backend,
@@ -12,7 +13,7 @@
         State,
         event::Cause,
         job::{Spot, Stage},
-        outcome::Held,
+        outcome::InFlight,
         rollout::Rollouts,
         watch::Watch,
     },
@@ -20,25 +21,25 @@
     wire::{Short, Trial},
 };
 
-/// Broken attempts that are remembered while their server is knocked at.
-const MAX_BROKEN: usize = 128;
-/// Kinds of times that are remembered: a route has about ten.
-const MAX_TYPICAL: usize = 4096;
-/// Smallest work that is told apart from less, in tokens, as a power of two.
-const LEAST_WORK: u32 = 8;
+/// Maximum number of broken attempts kept for one server while it is probed.
+const MAX_BROKEN_PER_SERVER: usize = 128;
+/// Maximum number of timing keys; a route has about ten.
+const MAX_TIMING_KEYS: usize = 4096;
+/// Sizes of up to this many bits, in tokens, are in the smallest class.
+const SMALLEST_CLASS_BITS: u32 = 8;
 
-/// What a time is typical of.
+/// A kind of measured time, for which typical values are learned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Timed {
-    /// The beginning of an answer on a route, after so much work.
+pub(super) enum TimingKey {
+    /// The time to the first byte on a route, by size class of the work.
     First(Service, u32),
-    /// The rest of an answer of about this length.
+    /// The rest of the answer on a route, by size class of its length.
     Rest(Service, u32),
 }
 
-/// How often `size` doubles beyond the smallest.
-fn doublings(size: u32) -> u32 {
-    (u32::BITS - size.leading_zeros()).saturating_sub(LEAST_WORK)
+/// Returns how often `size` doubles beyond the smallest class.
+fn size_class(size: u32) -> u32 {
+    (u32::BITS - size.leading_zeros()).saturating_sub(SMALLEST_CLASS_BITS)
 }
 
 impl Rollouts {
@@ -74,83 +75,85 @@
         trial.failing |= if bad { bit } else { 0 };
     }
 
-    /// The longest time that is not slow for what `timed` speaks of. Where nothing of this size was seen, less
-    /// work tells: reading twice as much takes twice as long at most.
-    fn bound(&self, timed: &Timed) -> Option<Millis> {
-        let (at, size) = match timed {
-            Timed::First(_, size) | Timed::Rest(_, size) => (timed, *size),
+    /// Returns the longest time that is not slow for `timing`. If this size class has no bound yet,
+    /// scales up that of the next smaller class that has one: reading twice as much takes at most
+    /// twice as long.
+    fn bound(&self, timing: &TimingKey) -> Option<Millis> {
+        let (at, size) = match timing {
+            TimingKey::First(_, size) | TimingKey::Rest(_, size) => (timing, *size),
         };
-        (0..=size).rev().find_map(|less| {
+        (0..=size).rev().find_map(|smaller_size| {
             let smaller = match at {
-                Timed::First(route, _) => Timed::First(route.clone(), less),
-                Timed::Rest(route, _) => Timed::Rest(route.clone(), less),
+                TimingKey::First(route, _) => TimingKey::First(route.clone(), smaller_size),
+                TimingKey::Rest(route, _) => TimingKey::Rest(route.clone(), smaller_size),
             };
-            let scale = f64::from(1_u32 << (size - less).min(16));
+            let scale = f64::from(1_u32 << (size - smaller_size).min(16));
             self.typical.get(&smaller)?.bound(scale)
         })
     }
 
-    fn learn(&mut self, timed: Timed, took: Millis) {
-        if self.typical.len() >= MAX_TYPICAL && !self.typical.contains_key(&timed) {
+    fn learn(&mut self, timing: TimingKey, took: Millis) {
+        if self.typical.len() >= MAX_TIMING_KEYS && !self.typical.contains_key(&timing) {
             self.typical.clear();
         }
-        self.typical.entry(timed).or_default().learn(took);
+        self.typical.entry(timing).or_default().learn(took);
     }
 }
 
 impl<P: Policy> State<P> {
-    /// Notes that an answer began.
-    pub(super) fn judge_begun(&mut self, now: Time, request: id::Request, held: &Held) {
-        let took = now.since(held.at);
-        let work = doublings(held.work);
-        let timed = |route: &Service| Timed::First(route.clone(), work);
-        self.judge_time(now, request, held, timed, took, false);
+    /// Judges the time to the first byte of an answer that just began.
+    pub(super) fn judge_begun(&mut self, now: Time, request: id::Request, in_flight: &InFlight) {
+        let took = now.since(in_flight.at);
+        let work = size_class(in_flight.work);
+        let timing = |route: &Service| TimingKey::First(route.clone(), work);
+        self.judge_time(now, request, in_flight, timing, took, false);
     }
 
-    /// Notes that an answer ended whole.
-    pub(super) fn judge_ended(&mut self, now: Time, request: id::Request, held: &Held) {
-        let took = now.since(held.begun.unwrap_or(held.at));
+    /// Judges the remaining time of an answer that ended complete.
+    pub(super) fn judge_ended(&mut self, now: Time, request: id::Request, in_flight: &InFlight) {
+        let took = now.since(in_flight.begun.unwrap_or(in_flight.at));
         let job = self.jobs.get(&request);
         let output = job
             .and_then(|job| job.prompt.as_ref())
             .map_or(0, |p| p.output);
-        let timed = |route: &Service| Timed::Rest(route.clone(), doublings(output));
-        self.judge_time(now, request, held, timed, took, true);
+        let timing = |route: &Service| TimingKey::Rest(route.clone(), size_class(output));
+        self.judge_time(now, request, in_flight, timing, took, true);
     }
 
-    /// Judges a time, and learns from it; an answer that is not `over` counts only where it is slow already.
+    /// Judges a time and learns from it. An answer that is not `over` is counted only if it is slow
+    /// already.
     fn judge_time(
         &mut self,
         now: Time,
         request: id::Request,
-        held: &Held,
-        timed: impl Fn(&Service) -> Timed,
+        in_flight: &InFlight,
+        timing: impl Fn(&Service) -> TimingKey,
         took: Millis,
         over: bool,
     ) {
-        let Spot::Chosen(Place::Backend(name), _) = &held.spot else {
+        let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot else {
             return;
         };
         let (Some(job), Some(backend)) = (self.jobs.get_mut(&request), self.fleet.get(name)) else {
             return;
         };
-        let timed = timed(&job.line);
-        // Servers that are cold are slow by rule, whatever they run.
-        let cold = self.fleet.is_cold(name, held.at);
+        let timing = timing(&job.line);
+        // Cold servers are slow whatever release they run.
+        let cold = self.fleet.is_cold(name, in_flight.at);
         let slow = !cold
             && self
                 .rollouts
-                .bound(&timed)
+                .bound(&timing)
                 .is_some_and(|bound| took > bound);
         if (slow || over) && !std::mem::replace(&mut job.judged, true) {
             self.rollouts.count(&job.service, &job.line, backend, slow);
         }
         if !cold && !self.rollouts.is_on_trial(&job.service, backend, now) {
-            self.rollouts.learn(timed, took);
+            self.rollouts.learn(timing, took);
         }
     }
 
-    /// Notes that an attempt failed.
+    /// Judges an attempt that failed.
     pub(super) fn judge_failed(&mut self, request: id::Request, spot: &Spot, cause: Cause) {
         let Spot::Chosen(Place::Backend(name), _) = spot else {
             return;
@@ -166,10 +169,11 @@
                 job.judged = true;
                 self.rollouts.count(&job.service, &job.line, backend, true);
             }
-            // A server that ended breaks all that it ran at once, which says nothing of its answers.
+            // A server that crashed breaks all of its attempts at once, which says nothing of its
+            // answers. The count waits for the result of the probe.
             Cause::Broken => {
                 let broken = self.rollouts.broken.entry(name.clone()).or_default();
-                if broken.len() < MAX_BROKEN {
+                if broken.len() < MAX_BROKEN_PER_SERVER {
                     broken.push((job.service.clone(), job.line.clone()));
                 }
             }
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Counts what broke at a server that was knocked at, where it still runs.
+    /// Counts the attempts that broke at a probed server as bad if the server still runs.
     pub(super) fn judge_broken(&mut self, name: &id::Backend, closed: bool) {
         let broken = self.rollouts.broken.remove(name);
         let Some(backend) = self.fleet.get(name).filter(|_| !closed) else {
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Counts what should have begun by now as slow.
+    /// Counts answers that should have begun by now as slow.
     pub(super) fn judge_overdue(&mut self, now: Time) {
         let mut overdue = Vec::new();
         for (request, job) in &self.jobs {
@@ -206,8 +210,8 @@
             if job.judged || !watched.is_some_and(Watch::is_open) || self.fleet.is_cold(name, *at) {
                 continue;
             }
-            let timed = Timed::First(job.line.clone(), doublings(*work));
-            let bound = self.rollouts.bound(&timed);
+            let timing = TimingKey::First(job.line.clone(), size_class(*work));
+            let bound = self.rollouts.bound(&timing);
             if bound.is_some_and(|bound| now.since(*at) > bound) {
                 overdue.push((*request, name.clone()));
             }
--- a/src/reducer/limit.rs
+++ b/src/reducer/limit.rs
@@ -1,8 +1,8 @@
-//! What backend servers say that they take from all boxes together, what the boxes of a region tell each
-//! other of it, and this box's share.
+//! Rate limits that backend servers announce for all boxes together, how the boxes of a region
+//! share them, and this box's share.
 //!
-//! A few boxes of the region share one server's limit, more of them the higher it is, chosen by rank without
-//! a word between them; other servers' limits are shared by other boxes.
+//! A few boxes of the region share one server's limit, more of them the higher it is. They are
+//! chosen by rank without communication; the limits of other servers are shared by other boxes.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     policy::Policy,
     reducer::{
         State,
-        cold::KEPT,
+        cold::SHARE_RETENTION,
         effect::{Effect, Note},
         job::Job,
     },
@@ -22,11 +22,11 @@
     wire::{self, Body, Phase, Short},
 };
 
-/// Limits that one message tells of, the newest first: 21 bytes each, 1 KB in all.
-const MAX_TOLD: usize = 48;
+/// Maximum number of limits in one message, the newest first: 21 bytes each, 1 KB in all.
+const MAX_LIMITS_PER_MESSAGE: usize = 48;
 
 impl<P: Policy> State<P> {
-    /// Takes what an answer of a backend server says of its limit, to a request that was sent at `sent`.
+    /// Records the limit in a backend server's answer to a request that was sent at `sent`.
     pub(super) fn hear_limit(
         &mut self,
         now: Time,
@@ -44,11 +44,12 @@
         }
         out.push(Effect::Noted(match word {
             Word::Unreadable => Note::Unreadable(name.clone()),
-            Word::Silent | Word::Most(_) => limited(name, &server.limit),
+            Word::Silent | Word::Most(_) => limit_note(name, &server.limit),
         }));
     }
 
-    /// Takes what a heartbeat says of limits, and tells its sender what this box knows better.
+    /// Applies the limits in a heartbeat, and sends the ones that were out of date back to its
+    /// sender.
     pub(super) fn hear_limits(
         &mut self,
         now: Time,
@@ -57,13 +58,14 @@
         to: SocketAddr,
         out: &mut Vec<Effect>,
     ) {
-        let old = self.learn_limits(now, from, limits, out);
-        if !old.is_empty() {
-            self.send_all(Body::Limits(old), [to], out);
+        let outdated = self.learn_limits(now, from, limits, out);
+        if !outdated.is_empty() {
+            self.send_all(Body::Limits(outdated), [to], out);
         }
     }
 
-    /// Takes what another box says of limits; returns what this box knows better.
+    /// Applies limits received from another box; returns the limits for which this box has newer
+    /// values.
     pub(super) fn learn_limits(
         &mut self,
         now: Time,
@@ -71,70 +73,71 @@
         limits: &[wire::Limit],
         out: &mut Vec<Effect>,
     ) -> Vec<wire::Limit> {
-        let mut old = Vec::new();
-        for told in limits.iter().take(MAX_TOLD) {
-            let Some(backend) = self.named_here(told.backend, told.life).cloned() else {
+        let mut outdated = Vec::new();
+        for reported in limits.iter().take(MAX_LIMITS_PER_MESSAGE) {
+            let Some(backend) = self.named_here(reported.backend, reported.life).cloned() else {
                 continue;
             };
             let awake = self.control.is_awake(now);
             let server = self.servers.entry(backend.name.clone()).or_default();
-            // Word that waited while this box stood still seems newer than it is; one that lets more
-            // through then has to come again.
-            if !awake && server.limit.is_loosened_by(told.rate) {
+            // A message that was delayed while this box was suspended seems newer than it is. A
+            // looser limit is ignored until it is received again.
+            if !awake && server.limit.is_loosened_by(reported.rate) {
                 continue;
             }
-            match server.limit.learn(told.rate, now - told.age, from) {
-                Worth::News => out.push(Effect::Noted(limited(&backend.name, &server.limit))),
+            match server.limit.learn(reported.rate, now - reported.age, from) {
+                Worth::News => out.push(Effect::Noted(limit_note(&backend.name, &server.limit))),
                 Worth::Known => {}
-                Worth::Old => old.extend(row(&backend, &server.limit, now)),
+                Worth::Old => outdated.extend(wire_limit(&backend, &server.limit, now)),
             }
         }
-        old
+        outdated
     }
 
-    /// The backend server of this region that another box speaks of, in this life of it.
+    /// Returns the backend server of this region with this short name, if it is still in the given
+    /// incarnation.
     pub(super) fn named_here(&self, backend: Short, life: Short) -> Option<&Backend> {
         let backend = self.fleet.get(self.fleet.long(backend)?)?;
         (self.is_here(backend) && backend.life() == life).then_some(backend)
     }
 
-    /// Whether `backend` stands in this region.
+    /// Reports whether `backend` is in this box's region.
     pub(super) fn is_here(&self, backend: &Backend) -> bool {
         backend.region == self.table.me.region
     }
 
-    /// What the others are told of limits with each heartbeat: a box that started, woke or was cut off
+    /// Returns the limits to send with each heartbeat: a box that started, resumed or was cut off
     /// learns them from the first one.
     pub(super) fn known_limits(&self, now: Time) -> Vec<wire::Limit> {
         let limited = self
             .servers
             .iter()
             .filter(|(_, s)| s.limit.rate().is_some());
-        let rows = limited.filter_map(|(name, s)| row(self.fleet.get(name)?, &s.limit, now));
+        let rows = limited.filter_map(|(name, s)| wire_limit(self.fleet.get(name)?, &s.limit, now));
         let mut rows: Vec<wire::Limit> = rows.collect();
         rows.sort_unstable_by_key(|row| (row.age, row.backend));
-        rows.truncate(MAX_TOLD);
+        rows.truncate(MAX_LIMITS_PER_MESSAGE);
         rows
     }
 
-    /// Tells the boxes of the region at once what this one heard of limits since it last did.
+    /// Sends limits that changed since the last time to the boxes of the region at once.
     pub(super) fn tell_limits(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for (name, server) in &mut self.servers {
             if server.limit.tell(now)
                 && let Some(backend) = self.fleet.get(name)
             {
-                news.extend(row(backend, &server.limit, now));
+                changed.extend(wire_limit(backend, &server.limit, now));
             }
         }
-        for news in news.chunks(MAX_TOLD) {
-            let near = self.table.live(now).map(|peer| peer.last.contact.gossip);
-            let near: Vec<SocketAddr> = near.collect();
-            self.send_all(Body::Limits(news.to_vec()), near, out);
+        for changed in changed.chunks(MAX_LIMITS_PER_MESSAGE) {
+            let neighbours = self.table.live(now).map(|peer| peer.last.contact.gossip);
+            let neighbours: Vec<SocketAddr> = neighbours.collect();
+            self.send_all(Body::Limits(changed.to_vec()), neighbours, out);
         }
     }
 
-    /// Finds this box's shares anew: boxes come and go.
+    /// Recomputes this box's shares, as boxes join and leave.
     pub(super) fn split_limits(&mut self, now: Time) {
         let limited = self.servers.iter().filter_map(|(name, server)| {
             let rate = server.limit.rate()?;
@@ -148,30 +151,32 @@
         }
     }
 
-    /// What this box may send of a server's limit; nothing until it knows who else sends.
+    /// Returns how much of a server's limit this box may send; nothing until it knows which other
+    /// boxes send.
     ///
-    /// Who fell silent without a word may be cut off and send on, so its share is left to it; who said that
-    /// it stops has stopped soon after.
+    /// A box that fell silent unexpectedly may be cut off and still be sending, so it keeps its
+    /// share until it is forgotten. A box that announced its stop ends soon after.
     fn limit_share(&self, now: Time, name: &id::Backend, rate: Rate) -> Share {
         if !self.knows_region(now) {
             return Share::default();
         }
-        let kept = |peer: &Peer| match peer.last.phase {
-            Phase::Leaving => KEPT,
+        let retention = |peer: &Peer| match peer.last.phase {
+            Phase::Leaving => SHARE_RETENTION,
             Phase::Unready | Phase::Ready => FORGET,
         };
-        let (rank, boxes) = self.table.standing(name.as_str(), kept, now);
+        let (rank, boxes) = self.table.standing(name.as_str(), retention, now);
         limit::share(rate, rank, boxes)
     }
 
-    /// How long a request waits for its turn at `name`, behind `ahead` others that go to such servers; none
-    /// where this box has no share of its limit.
+    /// Returns how long a request waits for its turn at `name` behind `ahead` other requests for
+    /// limited servers, or `None` if this box has no share of the limit.
     pub(super) fn limit_wait(&self, now: Time, name: &id::Backend, ahead: f64) -> Option<Millis> {
         let server = self.servers.get(name);
         server.map_or(Some(Millis(0)), |s| s.limit.wait(ahead, now))
     }
 
-    /// Whether a backend server of this region could take `job` now, but for the limit that it names.
+    /// Reports whether a backend server of this region could take `job` now were it not for its
+    /// announced limit.
     pub(super) fn is_limited(&self, now: Time, job: &Job) -> bool {
         let Some(plan) = self.config.as_ref().and_then(|c| c.plan(&job.ask).ok()) else {
             return false;
@@ -182,7 +187,7 @@
         plan.permits(&self.table.me.region) && here.filter(usable).any(full)
     }
 
-    /// Backend servers that name a limit, as far as this box knows.
+    /// Returns the number of backend servers known to announce a limit.
     pub fn limited(&self) -> usize {
         let servers = self.servers.values();
         servers
@@ -191,8 +196,8 @@
     }
 }
 
-/// What a box tells of a server's limit; none where it knows nothing of one.
-fn row(backend: &Backend, limit: &Limit, now: Time) -> Option<wire::Limit> {
+/// Returns the wire form of what is known of a server's limit, or `None` if nothing is known.
+fn wire_limit(backend: &Backend, limit: &Limit, now: Time) -> Option<wire::Limit> {
     Some(wire::Limit {
         backend: Short::of(backend.name.as_str()),
         life: backend.life(),
@@ -201,7 +206,7 @@
     })
 }
 
-fn limited(name: &id::Backend, limit: &Limit) -> Note {
+fn limit_note(name: &id::Backend, limit: &Limit) -> Note {
     Note::Limited {
         backend: name.clone(),
         rate: limit.rate(),
--- a/src/reducer/order.rs
+++ b/src/reducer/order.rs
@@ -1,4 +1,4 @@
-//! Whether an operator's order for a roll-out can be taken, by what this box knows.
+//! Checks whether an operator's order for a roll-out can succeed, from what this box knows.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -13,31 +13,31 @@
     unit::{Millis, Time},
 };
 
-/// What an operator asks for.
+/// A roll-out as requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
     /// The service.
     pub service: Service,
-    /// The release that is to serve.
+    /// The release to roll out.
     pub release: Release,
-    /// The time after which it should.
+    /// The time within which the roll-out is to be complete.
     pub within: Millis,
 }
 
-/// Why an order, or a stop, is not taken.
+/// Why an order, or the stop of one, is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It leaves no time to watch the release.
+    /// The order leaves no time to watch the release.
     NoTime,
     /// No server of the release serves the service.
     NoServer(Ask),
-    /// The service runs the release.
+    /// The service runs the release already.
     Running(Ask),
     /// Another order is open.
     Open(Release),
     /// No server of the release is ready.
     NotReady(Ask),
-    /// No request may run where the servers stand that are ready.
+    /// The ready servers are in regions where no request of the service may run.
     Unreached(BTreeSet<Region>),
     /// The service is served in regions where no server of the release is ready.
     Missing(BTreeSet<Region>),
@@ -65,10 +65,10 @@
             Self::Unreached(regions) => write!(
                 f,
                 "its servers stand where no request of the service may run: {}",
-                list(regions)
+                join_names(regions)
             ),
             Self::Missing(regions) => {
-                write!(f, "no server of it is ready in {}", list(regions))
+                write!(f, "no server of it is ready in {}", join_names(regions))
             }
             Self::NoOrder(service) => write!(f, "there is no order for {service}"),
             Self::Ended(standing) => write!(f, "the roll-out has ended: {}", standing.name()),
@@ -76,12 +76,12 @@
     }
 }
 
-fn list(regions: &BTreeSet<Region>) -> String {
+fn join_names(regions: &BTreeSet<Region>) -> String {
     let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
     names.join(", ")
 }
 
-/// Refuses where `entry`, as the store holds it, has an open order, or was completed with this release.
+/// Refuses `ask` if `entry`, as stored, has an open order or was completed with this release.
 pub fn check_standing(entry: Option<&Entry>, ask: &Ask) -> Result<(), Refusal> {
     let Some((entry, order)) = entry.and_then(|e| Some((e, e.order.as_ref()?))) else {
         return Ok(());
@@ -95,7 +95,7 @@
     }
 }
 
-/// Refuses where `entry` has no order that could be stopped.
+/// Refuses if `entry` has no open order.
 pub fn check_stop(entry: Option<&Entry>, service: &Service) -> Result<(), Refusal> {
     let open = entry.filter(|entry| entry.order.is_some());
     let entry = open.ok_or_else(|| Refusal::NoOrder(service.clone()))?;
@@ -105,49 +105,49 @@
     }
 }
 
-/// The servers of a service, as an order sees them.
+/// The servers of a service, as far as they matter for an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Survey {
-    /// Whether servers of the release serve it.
-    known: bool,
-    /// Whether servers of other releases serve it.
-    others: bool,
-    /// The regions where others serve it.
-    served: BTreeSet<Region>,
-    /// Those of the release that are ready, and whether requests may run there.
+    /// Whether servers of the release serve the service.
+    has_release: bool,
+    /// Whether servers of other releases serve the service.
+    has_other_releases: bool,
+    /// The regions where servers of other releases serve the service.
+    served_regions: BTreeSet<Region>,
+    /// The ready servers of the release, and whether requests of the service may run there.
     ready: Vec<(SocketAddr, Region, bool)>,
 }
 
 impl Survey {
-    /// Where the servers of the release listen that seem ready.
+    /// Returns the addresses of the servers of the release that seem ready.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.ready.iter().map(|(address, ..)| *address)
     }
 
-    /// Refuses `ask` where it could not succeed; nothing listens at `closed`.
+    /// Refuses `ask` if it cannot succeed. `closed` holds the addresses at which nothing listens.
     pub fn check(&self, ask: &Ask, closed: &BTreeSet<SocketAddr>) -> Result<(), Refusal> {
         if ask.within == Millis(0) {
             return Err(Refusal::NoTime);
         }
-        if !self.known {
+        if !self.has_release {
             return Err(Refusal::NoServer(ask.clone()));
         }
-        if !self.others {
+        if !self.has_other_releases {
             return Err(Refusal::Running(ask.clone()));
         }
-        let up = |row: &&(SocketAddr, Region, bool)| !closed.contains(&row.0);
-        let ready: Vec<_> = self.ready.iter().filter(up).collect();
+        let is_listening = |row: &&(SocketAddr, Region, bool)| !closed.contains(&row.0);
+        let ready: Vec<_> = self.ready.iter().filter(is_listening).collect();
         if ready.is_empty() {
             return Err(Refusal::NotReady(ask.clone()));
         }
         let regions = |rows: &[&(SocketAddr, Region, bool)]| -> BTreeSet<Region> {
             rows.iter().map(|row| row.1.clone()).collect()
         };
-        let reached: Vec<_> = ready.iter().copied().filter(|row| row.2).collect();
-        if reached.is_empty() {
+        let eligible: Vec<_> = ready.iter().copied().filter(|row| row.2).collect();
+        if eligible.is_empty() {
             return Err(Refusal::Unreached(regions(&ready)));
         }
-        let missing: BTreeSet<Region> = &self.served - &regions(&reached);
+        let missing: BTreeSet<Region> = &self.served_regions - &regions(&eligible);
         match missing.is_empty() {
             true => Ok(()),
             false => Err(Refusal::Missing(missing)),
@@ -156,7 +156,7 @@
 }
 
 impl<P: Policy> State<P> {
-    /// Looks at the servers that an order for `release` speaks of.
+    /// Collects the servers that matter for an order of `release`.
     pub fn survey_order(&self, now: Time, service: &Service, release: &Release) -> Survey {
         let mut survey = Survey::default();
         let Some(config) = self.config.as_deref() else {
@@ -165,19 +165,20 @@
         let serving = self.fleet.iter().filter(|b| b.serves.contains(service));
         for backend in serving.filter(|b| !b.leaving) {
             let excluded = self.excluded(now, backend);
-            let reached = is_reached(config, service, backend);
+            let eligible = may_run_at(config, service, backend);
             if backend.release.as_ref() == Some(release) {
-                survey.known = true;
-                // What waits for an order, or was kept off by an earlier one, may be ordered.
+                survey.has_release = true;
+                // Servers that wait for an order, or were blocked by an earlier roll-out, may be
+                // ordered.
                 let ready = matches!(excluded, None | Some(Exclusion::Release));
                 if ready && !self.fleet.is_cold(&backend.name, now) {
-                    let row = (backend.address, backend.region.clone(), reached);
+                    let row = (backend.address, backend.region.clone(), eligible);
                     survey.ready.push(row);
                 }
             } else if excluded != Some(Exclusion::Release) {
-                survey.others = true;
-                if reached {
-                    survey.served.insert(backend.region.clone());
+                survey.has_other_releases = true;
+                if eligible {
+                    survey.served_regions.insert(backend.region.clone());
                 }
             }
         }
@@ -185,19 +186,22 @@
     }
 }
 
-/// Whether some request of `service` may run at `backend`, by its routes, selectors and customers.
-fn is_reached(config: &Config, service: &Service, backend: &Backend) -> bool {
+/// Reports whether some request of `service` may run at `backend`, by the routes, selectors and
+/// customers of the configuration.
+fn may_run_at(config: &Config, service: &Service, backend: &Backend) -> bool {
     let region = &backend.region;
     let inside = |regions: &[Region]| regions.is_empty() || regions.contains(region);
     let model = config.models.get(service);
-    let leads = |kind: Kind, name: &Service, mut shares: std::slice::Iter<'_, _>| match kind {
-        Kind::Model => model.is_some(),
-        Kind::Application => {
-            name == service || shares.any(|share: &crate::config::Share| share.service == *service)
-        }
-    };
+    let routes_to_service =
+        |kind: Kind, name: &Service, mut shares: std::slice::Iter<'_, _>| match kind {
+            Kind::Model => model.is_some(),
+            Kind::Application => {
+                name == service
+                    || shares.any(|share: &crate::config::Share| share.service == *service)
+            }
+        };
     let mut routes = config.routes.iter().filter(|route| {
-        leads(route.kind, &route.name, route.shares.iter()) && route.permits(region)
+        routes_to_service(route.kind, &route.name, route.shares.iter()) && route.permits(region)
     });
     if model.is_some_and(|model| !inside(&model.regions)) {
         return false;
--- a/src/reducer/outcome.rs
+++ b/src/reducer/outcome.rs
@@ -1,4 +1,4 @@
-//! What comes of an attempt, and a request's final answer.
+//! Attempt outcomes and the final answer to a request.
 
 use crate::{
     id,
@@ -11,33 +11,32 @@
         job::{SOON, Spot, Stage},
         key::key_phase,
         moving::Stream,
-        repeat::Claim,
+        repeat::RetryKind,
     },
     retry,
     unit::{Millis, Time},
     verdict::Verdict,
 };
 
-/// What an attempt in hand holds.
-pub(super) struct Held {
+/// The state of an attempt in flight: where it runs, and what was reserved for it.
+pub(super) struct InFlight {
     pub(super) spot: Spot,
     pub(super) at: Time,
     pub(super) work: u32,
     pub(super) expected: Millis,
-    /// When its answer began.
+    /// When the answer began; `None` before that.
     pub(super) begun: Option<Time>,
 }
 
-impl Held {
-    /// Whether its answer has begun.
+impl InFlight {
     pub(super) fn has_begun(&self) -> bool {
         self.begun.is_some()
     }
 }
 
 impl<P: Policy> State<P> {
-    /// The spot and start of `attempt`, where it is the one in hand.
-    pub(super) fn in_hand(&self, request: id::Request, attempt: id::Attempt) -> Option<Held> {
+    /// Returns `attempt` if it is the one `request` currently has in flight.
+    pub(super) fn in_hand(&self, request: id::Request, attempt: id::Attempt) -> Option<InFlight> {
         match &self.jobs.get(&request)?.stage {
             Stage::Sent {
                 attempt: current,
@@ -46,7 +45,7 @@
                 work,
                 expected,
                 begun,
-            } if *current == attempt => Some(Held {
+            } if *current == attempt => Some(InFlight {
                 spot: spot.clone(),
                 at: *at,
                 work: *work,
@@ -64,16 +63,21 @@
         attempt: id::Attempt,
         out: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.in_hand(request, attempt) else {
+        let Some(in_flight) = self.in_hand(request, attempt) else {
             return;
         };
-        self.judge_begun(now, request, &held);
+        self.judge_begun(now, request, &in_flight);
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
-        if let Spot::Chosen(Place::Backend(name), _) = &held.spot
+        if let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot
             && let Some(server) = self.servers.get_mut(name)
-            && server.begin(now.since(held.at), held.expected, held.work, now)
+            && server.begin(
+                now.since(in_flight.at),
+                in_flight.expected,
+                in_flight.work,
+                now,
+            )
         {
             out.push(Effect::Noted(Note::Regained(name.clone())));
         }
@@ -94,23 +98,23 @@
         whole: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.in_hand(request, attempt) else {
+        let Some(in_flight) = self.in_hand(request, attempt) else {
             return;
         };
-        self.release(&held, whole.then_some(now.since(held.at)));
+        self.release(&in_flight, whole.then_some(now.since(in_flight.at)));
         if whole {
-            self.judge_ended(now, request, &held);
+            self.judge_ended(now, request, &in_flight);
         } else {
-            self.judge_failed(request, &held.spot, Cause::Broken);
-            // Its server may have ended, though nobody may go on with the answer.
-            self.suspect(now, request, &held, out);
+            self.judge_failed(request, &in_flight.spot, Cause::Broken);
+            // The backend server may have crashed, even if nobody can continue the answer.
+            self.probe_after_break(now, request, &in_flight, out);
         }
         let Some(mut job) = self.jobs.remove(&request) else {
             return;
         };
         out.extend(job.drop_copy(request));
         if whole {
-            self.exonerate(now, job.content, out);
+            self.clear_content(now, job.content, out);
         }
         self.deadlines.remove(&(job.deadline, request));
         if job.owns_key {
@@ -156,16 +160,16 @@
         cause: Cause,
         out: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.in_hand(request, attempt) else {
+        let Some(in_flight) = self.in_hand(request, attempt) else {
             return;
         };
-        self.release(&held, None);
+        self.release(&in_flight, None);
         if cause == Cause::Broken {
-            self.suspect(now, request, &held, out);
+            self.probe_after_break(now, request, &in_flight, out);
         }
-        let spot = held.spot;
+        let spot = in_flight.spot;
         self.judge_failed(request, &spot, cause);
-        self.blame(now, &spot, cause);
+        self.record_failure(now, &spot, cause);
         if self.go_back(now, request, verdict, out) {
             return;
         }
@@ -176,39 +180,41 @@
         if verdict.is_not_run() {
             job.unspend();
         } else {
-            job.ran_at(&spot);
+            job.count_run(&spot);
         }
-        // Behind a box another backend server may do better.
+        // A relayed request may succeed at another backend server of that region.
         let relayed = matches!(spot, Spot::Chosen(Place::Region(_), _));
-        let elsewhere = relayed && cause == Cause::Broken;
-        // A stream that this box took off its server is owed another place.
+        let retry_same_region = relayed && cause == Cause::Broken;
+        // A stream that this box moved off its backend server is always given another attempt.
         let owed = job.moved && verdict.is_not_run();
-        if elsewhere || owed || matches!(cause, Cause::Errored | Cause::Leaving) {
-            // It may well do better there next time, or by another door of the region.
+        if retry_same_region || owed || matches!(cause, Cause::Errored | Cause::Leaving) {
+            // Allows this place to be tried again: a retry there, or through another box of the
+            // region, may well succeed.
             job.tried.pop();
         }
         job.stage = Stage::Waiting;
-        let safe = job.repeatable || !job.may_have_run;
-        let left = job.runs > 0 && (owed || job.attempts < retry::MAX_ATTEMPTS);
-        let again = safe && left && spot != Spot::Pinned && now < job.deadline;
+        let may_rerun = job.repeatable || !job.may_have_run;
+        let has_runs_left = job.runs > 0 && (owed || job.attempts < retry::MAX_ATTEMPTS);
+        let may_retry = may_rerun && has_runs_left && spot != Spot::Pinned && now < job.deadline;
         let (service, known) = (job.service.clone(), job.verdict());
-        let claim = match (cause.may_have_arrived(), owed) {
-            (false, _) => Claim::Free,
-            (true, true) => Claim::Owed,
-            (true, false) => Claim::Ordinary,
+        let kind = match (cause.may_have_arrived(), owed) {
+            (false, _) => RetryKind::Free,
+            (true, true) => RetryKind::Owed,
+            (true, false) => RetryKind::Ordinary,
         };
-        if again && self.take_repeat(now, request, &service, claim, out) {
+        if may_retry && self.take_retry(now, request, &service, kind, out) {
             if !self.place(now, request, out) {
                 self.enqueue(request, out);
             }
         } else {
-            let reply = give_up(&spot, known, cause);
+            let reply = failure_reply(&spot, known, cause);
             self.finish(request, reply, out);
         }
         self.drain(now, &service, out);
     }
 
-    /// Lets a stream that was cut go on elsewhere, where it may.
+    /// Handles a stream that was cut: waits for its move to another engine if one is under way, and
+    /// otherwise fails the attempt if its answer had begun.
     pub(super) fn broke(
         &mut self,
         now: Time,
@@ -221,30 +227,31 @@
         }
         if self
             .in_hand(request, attempt)
-            .is_some_and(|held| held.has_begun())
+            .is_some_and(|in_flight| in_flight.has_begun())
         {
             let verdict = Verdict::MayHaveRun;
             self.failed(now, request, attempt, verdict, Cause::Broken, out);
         }
     }
 
-    /// Gives back what an attempt held; `took` tells of a whole answer.
-    pub(super) fn release(&mut self, held: &Held, took: Option<Millis>) {
-        match &held.spot {
+    /// Releases the resources of an attempt that ended. `took` is the duration of a complete
+    /// answer, `None` for any other end.
+    pub(super) fn release(&mut self, in_flight: &InFlight, took: Option<Millis>) {
+        match &in_flight.spot {
             Spot::Chosen(Place::Backend(name), _) => {
                 if let Some(server) = self.servers.get_mut(name) {
-                    if !held.has_begun() {
-                        server.withdraw(held.work);
+                    if !in_flight.has_begun() {
+                        server.withdraw(in_flight.work);
                     }
                     server.end(took);
                 }
             }
-            Spot::Chosen(Place::Region(region), _) => self.table.relay_ended(region, held.at),
+            Spot::Chosen(Place::Region(region), _) => self.table.relay_ended(region, in_flight.at),
             Spot::Pinned => {}
         }
     }
 
-    pub(super) fn blame(&mut self, now: Time, spot: &Spot, cause: Cause) {
+    pub(super) fn record_failure(&mut self, now: Time, spot: &Spot, cause: Cause) {
         match (spot, cause) {
             (_, Cause::Late) | (Spot::Pinned, _) => {}
             (Spot::Chosen(Place::Backend(name), _), Cause::Refused | Cause::Replaced) => {
@@ -305,7 +312,8 @@
         self.drain(now, &job.service, out);
     }
 
-    /// Takes a request out of wherever it stands: its line, its attempt, or another's answer.
+    /// Removes a request from its queue, aborts its attempt, or detaches it from the request whose
+    /// answer it waits for.
     pub(super) fn withdraw(&mut self, request: id::Request, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(&request) else {
             return;
@@ -318,15 +326,15 @@
             }
             Stage::Sent { attempt, .. } => {
                 out.push(Effect::Abort { request, attempt });
-                if let Some(held) = self.in_hand(request, attempt) {
-                    self.release(&held, None);
+                if let Some(in_flight) = self.in_hand(request, attempt) {
+                    self.release(&in_flight, None);
                 }
             }
             Stage::Joined(owner) => self.ledger.leave(owner, request),
         }
     }
 
-    /// Gives a request its final answer and forgets it.
+    /// Sends a request its final answer and removes it.
     pub(super) fn finish(&mut self, request: id::Request, reply: Reply, out: &mut Vec<Effect>) {
         let Some(mut job) = self.jobs.remove(&request) else {
             return;
@@ -340,25 +348,30 @@
         };
         if job.owns_key {
             for joiner in self.ledger.settle(request, key_phase(reply.verdict)) {
-                let same = reply.clone();
-                self.finish(joiner, same, out);
+                let copy = reply.clone();
+                self.finish(joiner, copy, out);
             }
         }
         out.push(Effect::Reply { request, reply });
     }
 
-    /// Ends the requests whose time is over.
+    /// Ends the requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: Time, out: &mut Vec<Effect>) {
         while let Some(&(deadline, request)) = self.deadlines.first() {
             if deadline > now {
                 return;
             }
             self.deadlines.remove(&(deadline, request));
-            self.expire_one(now, request, out);
+            self.expire_request(now, request, out);
         }
     }
 
-    pub(super) fn expire_one(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
+    pub(super) fn expire_request(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(job) = self.jobs.get(&request) else {
             return;
         };
@@ -378,7 +391,7 @@
     }
 }
 
-pub(super) fn give_up(spot: &Spot, verdict: Verdict, cause: Cause) -> Reply {
+pub(super) fn failure_reply(spot: &Spot, verdict: Verdict, cause: Cause) -> Reply {
     if *spot == Spot::Pinned {
         let reason = "the box that the key names does not answer";
         return Reply::new(409, Verdict::MayHaveRun, reason);
--- a/src/reducer/pushback.rs
+++ b/src/reducer/pushback.rs
@@ -1,4 +1,4 @@
-//! Backend servers that turn this box away and say for how long.
+//! Backend servers that refuse requests of this box and name a time to stay away.
 
 use crate::{
     id::{self, Incarnation},
@@ -15,7 +15,7 @@
 };
 
 impl<P: Policy> State<P> {
-    /// Takes from a backend server's refusal how long it wants nothing from this box.
+    /// Records the pause that a backend server asked for when it refused a request.
     pub(super) fn hear_pushback(
         &mut self,
         now: Time,
@@ -40,8 +40,8 @@
         out.push(Effect::Noted(Note::PushedBack { backend, span }));
     }
 
-    /// How long until the first of the backend servers of this region wants requests again that may take `job`;
-    /// none where one of them may take it before.
+    /// Returns the time until the first backend server of this region that may take `job` ends its
+    /// pause, or `None` if one of them may take it sooner.
     pub(super) fn pushback_left(&self, now: Time, job: &Job) -> Option<Millis> {
         let plan = self.config.as_ref()?.plan(&job.ask).ok()?;
         let mine = &self.table.me.region;
@@ -63,7 +63,7 @@
         soonest
     }
 
-    /// Backend servers that want nothing from this box at `now`.
+    /// Returns the number of backend servers whose requested pause has not ended at `now`.
     pub fn pushed_back(&self, now: Time) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.is_pushed_back(now)).count()
--- a/src/reducer/repeat.rs
+++ b/src/reducer/repeat.rs
@@ -1,4 +1,4 @@
-//! Attempts beyond the first: whether the retry budget has one.
+//! Retries: whether the retry budget allows another attempt.
 
 use crate::{
     id::{self, Service},
@@ -13,35 +13,37 @@
     unit::Time,
 };
 
-/// What an attempt beyond the first is asked for with.
+/// Why an attempt beyond the first is requested, which decides how the budget is charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Claim {
-    /// The attempt before it may have come to a backend server.
+pub(super) enum RetryKind {
+    /// The previous attempt may have reached a backend server, so the retry is charged.
     Ordinary,
-    /// The attempt before it surely did not.
+    /// The previous attempt certainly did not reach a backend server, so the retry is free.
     Free,
-    /// It is for a stream that this box took off its backend server.
+    /// The retry is for a stream that this box moved off its backend server: it is always granted,
+    /// even if it overdraws the budget.
     Owed,
 }
 
 impl<P: Policy> State<P> {
-    /// Whether an attempt beyond the first may go out; it is taken out of the budget of `service`, and told.
-    pub(super) fn take_repeat(
+    /// Charges an attempt beyond the first to the retry budget of `service` and reports the
+    /// outcome; returns whether the attempt may be made.
+    pub(super) fn take_retry(
         &mut self,
         now: Time,
         request: id::Request,
         service: &Service,
-        claim: Claim,
+        kind: RetryKind,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let outcome = match claim {
-            Claim::Free => Outcome::Free,
-            Claim::Owed => {
+        let outcome = match kind {
+            RetryKind::Free => Outcome::Free,
+            RetryKind::Owed => {
                 self.budgets.overdraw(service, now);
                 Outcome::Owed
             }
-            Claim::Ordinary if self.budgets.spend(service, now) => Outcome::Granted,
-            Claim::Ordinary => Outcome::Refused,
+            RetryKind::Ordinary if self.budgets.spend(service, now) => Outcome::Granted,
+            RetryKind::Ordinary => Outcome::Refused,
         };
         self.budgets.count(service, outcome);
         out.push(Effect::Repeat(Repeat {
@@ -54,17 +56,18 @@
         outcome != Outcome::Refused
     }
 
-    /// The boxes that share the slack, as far as this one can know.
+    /// Returns how many boxes share the retry slack, or `None` if this box cannot know.
     pub(super) fn sharers(&self) -> Option<usize> {
         let others = self.other_regions();
-        let beside = |seed: &Seed| seed.gossip != self.table.me.gossip;
-        let several = !others.is_empty() || self.seeds.iter().any(beside);
-        // At the first start of the whole system requests may come before the other boxes are up.
-        let expected = several && !self.budgets.is_first_start();
+        let is_other = |seed: &Seed| seed.gossip != self.table.me.gossip;
+        let has_others = !others.is_empty() || self.seeds.iter().any(is_other);
+        // When the whole system starts for the first time, requests may arrive before the other
+        // boxes are up.
+        let expected = has_others && !self.budgets.is_first_start();
         self.table.sharers(&others, expected)
     }
 
-    /// How the retry budgets are used, of the services for which an attempt beyond the first was ever asked for.
+    /// Returns the retry budget usage of each service for which a retry was ever requested.
     pub fn repeats(&mut self, now: Time) -> Vec<Repeats> {
         let boxes = self.sharers();
         let counts = self.budgets.counts();
--- a/src/reducer/rollout.rs
+++ b/src/reducer/rollout.rs
@@ -1,9 +1,11 @@
-//! Another release of a service's backend servers: which requests get it, and how its roll-out ends.
+//! Roll-outs of another release of a service's backend servers: which requests the new release
+//! gets, and how the roll-out ends.
 //!
-//! The order and its end stand in the platform's store, and come with the list of backend servers, so that no
-//! box knows a server that was started for an order before it knows the order. Each box judges by what all of
-//! them saw, keeps requests off a release that it finds bad, and asks the store to take its word; the store
-//! takes one word for an order, and that one holds everywhere.
+//! The order and its end are kept in the platform's store and arrive with the list of backend
+//! servers, so that no box knows a server that was started for an order before it knows the order.
+//! Each box judges by the observations of all boxes, keeps requests off a release that it finds
+//! bad, and asks the store to record the verdict. The store accepts one verdict for an order, and
+//! that one applies to all boxes.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -18,33 +20,34 @@
         effect::{Effect, Step},
         event::Hop,
         job::Job,
-        judge::Timed,
+        judge::TimingKey,
         status,
-        watch::{Lane, TURN, Watch, take_entry},
+        watch::{EXPOSURE_PERIOD, TrafficMode, Watch, apply_entry},
     },
     rollout::{Entry, Exposure, Pool, Standing, Typical, Verdict},
     unit::{Millis, Time},
     wire::{Short, Trial},
 };
 
-/// Time between two looks at a roll-out.
-const LOOK: Millis = Millis(200);
-/// Time between the boxes of a region, in the order of their ranks, before each asks the store as well.
-const IN_TURN: Millis = Millis(300);
-/// Time before a box asks the store again.
-const AGAIN: Millis = Millis(1000);
+/// Time between two checks of the roll-outs.
+const CHECK_PERIOD: Millis = Millis(200);
+/// Delay per rank before a further box of the region also asks the store to record the end.
+const RANK_DELAY: Millis = Millis(300);
+/// Time before a box asks the store again, multiplied by its rank, counted from one.
+const WRITE_RETRY_PERIOD: Millis = Millis(1000);
 
 /// What a box knows of roll-outs.
 #[derive(Debug)]
 pub(super) struct Rollouts {
     pub(super) exposure: Exposure,
     pub(super) watches: BTreeMap<Service, Watch>,
-    pub(super) typical: HashMap<Timed, Typical>,
-    /// Attempts that broke at servers which are knocked at: their services and routes.
+    pub(super) typical: HashMap<TimingKey, Typical>,
+    /// The service and route of attempts that broke at servers which are being probed.
     pub(super) broken: HashMap<id::Backend, Vec<(Service, Service)>>,
-    last_look: Option<Time>,
-    /// What the store told last since it came back from a copy, while that may be too old.
-    copied: Option<fleet::Rollouts>,
+    last_check: Option<Time>,
+    /// The newest roll-outs received since the store came back from a copy, while they may be
+    /// outdated.
+    unconfirmed: Option<fleet::Rollouts>,
 }
 
 impl Rollouts {
@@ -54,8 +57,8 @@
             watches: BTreeMap::new(),
             typical: HashMap::new(),
             broken: HashMap::new(),
-            last_look: None,
-            copied: None,
+            last_check: None,
+            unconfirmed: None,
         }
     }
 
@@ -63,7 +66,7 @@
         self.watches.iter().filter(|(_, watch)| watch.is_open())
     }
 
-    /// What the other boxes are told of the store's word.
+    /// Returns the stored state of all roll-outs, as sent to other boxes.
     pub(super) fn tell(&self, now: Time) -> fleet::Rollouts {
         let entry = |watch: &Watch| Entry {
             age: now.since(watch.since),
@@ -74,7 +77,7 @@
             .collect()
     }
 
-    /// What the other boxes are told of answers.
+    /// Returns the answers counted for open roll-outs, as sent to other boxes.
     pub(super) fn told(&self, now: Time) -> Vec<Trial> {
         let open = self.open().flat_map(|(_, watch)| {
             let age = now.since(watch.since);
@@ -83,20 +86,21 @@
         open.collect()
     }
 
-    /// Whether `backend` gets nothing of a service for a roll-out's sake.
+    /// Reports whether a roll-out of one of its services keeps all requests off `backend`.
     pub(super) fn bars(&self, backend: &Backend, now: Time) -> bool {
         let watched = |service| self.watches.get(service);
         let mut watches = backend.serves.iter().filter_map(watched);
         !self.watches.is_empty() && watches.any(|watch| watch.bars(backend, now))
     }
 
-    /// Whether `backend` is of a release that gets no more than a small part of `service`.
+    /// Reports whether `backend` is of a release that gets only a small part of the requests for
+    /// `service`.
     pub(super) fn is_on_trial(&self, service: &Service, backend: &Backend, now: Time) -> bool {
         let watch = self.watches.get(service);
-        watch.is_some_and(|w| w.lane(now) == Some(Lane::Watched) && w.is_new(backend))
+        watch.is_some_and(|w| w.traffic_mode(now) == Some(TrafficMode::Trial) && w.is_new(backend))
     }
 
-    /// Notes a request that goes to `backend`.
+    /// Records a request that is sent to `backend`.
     pub(super) fn count_send(&mut self, service: &Service, backend: &Backend) {
         if let Some(watch) = self.watches.get_mut(service) {
             let new = watch.is_new(backend);
@@ -106,7 +110,7 @@
 }
 
 impl<P: Policy> State<P> {
-    /// Whether `backend` gets nothing before an order names its release.
+    /// Reports whether `backend` gets no requests until an order names its release.
     pub(super) fn awaits_order(&self, backend: &Backend) -> bool {
         let config = self.config.as_ref();
         if !config.is_some_and(|config| config.awaiting.contains(&backend.name)) {
@@ -117,62 +121,63 @@
         !watches.any(|watch| watch.is_new(backend))
     }
 
-    /// Takes what the store, or another box, tells of roll-outs.
+    /// Applies the roll-outs received from the store or from another box.
     pub(super) fn take_rollouts(
         &mut self,
         now: Time,
-        told: &fleet::Rollouts,
+        received: &fleet::Rollouts,
         out: &mut Vec<Effect>,
     ) {
         let restored = self.is_restored(now);
-        self.rollouts.copied = restored.then(|| told.clone());
+        self.rollouts.unconfirmed = restored.then(|| received.clone());
         let watches = &mut self.rollouts.watches;
-        watches.retain(|service, _| restored || told.contains_key(service));
+        watches.retain(|service, _| restored || received.contains_key(service));
         let name = self.table.me.name.as_str().as_bytes();
-        for (service, entry) in told {
-            if restored && watches.get(service).is_some_and(|w| w.outlasts(entry)) {
+        for (service, entry) in received {
+            if restored && watches.get(service).is_some_and(|w| w.may_supersede(entry)) {
                 continue;
             }
             let order = entry
                 .order
                 .as_ref()
                 .map_or(0, |order| order.revision.number);
-            let draw = xxhash_rust::xxh3::xxh3_64_with_seed(name, order);
-            take_entry(watches, service, entry, draw, restored, now, out);
+            let seed = xxhash_rust::xxh3::xxh3_64_with_seed(name, order);
+            apply_entry(watches, service, entry, seed, restored, now, out);
             if let Some(watch) = watches.get_mut(service) {
-                watch.lasting = !self.registry;
+                watch.old_servers_stay = !self.registry;
             }
         }
-        self.survey();
+        self.refresh_servers();
     }
 
-    /// Believes what an old copy of the store told of roll-outs and was not written again since.
+    /// Accepts the roll-outs from an outdated copy of the store that were not written again in the
+    /// meantime.
     pub(super) fn take_copied_rollouts(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.is_restored(now)
-            && let Some(told) = self.rollouts.copied.take()
+            && let Some(received) = self.rollouts.unconfirmed.take()
         {
-            self.take_rollouts(now, &told, out);
+            self.take_rollouts(now, &received, out);
         }
     }
 
-    fn survey(&mut self) {
+    fn refresh_servers(&mut self) {
         let config = self.config.as_deref();
         let awaits = |b: &Backend| config.is_some_and(|c| c.awaiting.contains(&b.name));
         for (service, watch) in &mut self.rollouts.watches {
             let serving = self.fleet.iter().filter(|b| b.serves.contains(service));
             let release = watch.entry.release().cloned();
             let in_use = |b: &&Backend| !awaits(b) || b.release == release;
-            watch.survey(serving.filter(|b| !b.leaving).filter(in_use));
+            watch.update_servers(serving.filter(|b| !b.leaving).filter(in_use));
         }
     }
 
-    /// Whether a roll-out has a say in where requests of `service` go.
+    /// Reports whether a roll-out affects where requests of `service` go.
     pub(super) fn is_watched(&self, service: &Service, now: Time) -> bool {
         let watch = self.rollouts.watches.get(service);
-        watch.is_some_and(|watch| watch.lane(now).is_some())
+        watch.is_some_and(|watch| watch.traffic_mode(now).is_some())
     }
 
-    /// Those of `usable` that a roll-out lets this request go to.
+    /// Returns the servers among `usable` to which a roll-out lets this request go.
     pub(super) fn lane<'a>(
         &self,
         now: Time,
@@ -181,7 +186,7 @@
         usable: Vec<&'a Backend>,
     ) -> Vec<&'a Backend> {
         let watch = self.rollouts.watches.get(service);
-        let Some((watch, lane)) = watch.and_then(|w| Some((w, w.lane(now)?))) else {
+        let Some((watch, mode)) = watch.and_then(|w| Some((w, w.traffic_mode(now)?))) else {
             return usable;
         };
         let free = |b: &&Backend| {
@@ -191,55 +196,61 @@
             server.map_or(0, |s| s.busy) + elsewhere < slots
         };
         let is_new = |b: &&&Backend| watch.is_new(b);
-        match lane {
-            Lane::Held | Lane::Done => usable,
-            Lane::Moved => {
+        match mode {
+            TrafficMode::Blocked | TrafficMode::NewOnly => usable,
+            TrafficMode::Shifted => {
                 let new: Vec<&Backend> = usable.iter().filter(is_new).copied().collect();
                 if new.iter().any(free) { new } else { usable }
             }
-            Lane::Watched => {
+            TrafficMode::Trial => {
                 let (new, old): (Vec<_>, Vec<_>) =
                     usable.into_iter().partition(|b| watch.is_new(b));
-                // What was sent once goes on at the old release. What another box sent on is not exposed: it
-                // holds few attempts here, and callers got its errors though a repeat was left to them.
+                // Only first attempts of requests received directly from callers go to the new
+                // release; retries stay at the old one. Relayed requests have few attempts left
+                // here, and callers were given their errors although a retry was left.
                 let fresh = job.attempts == 0 && job.hop == Hop::Direct;
                 let admitted = watch.permits.admit(&self.rollouts.exposure);
                 let exposed = fresh && admitted && watch.is_exposing(now);
                 if old.is_empty() || !exposed {
                     return old;
                 }
-                let mut new = self.in_turn(now, watch, new);
+                let mut new = self.exposed_servers(now, watch, new);
                 new.retain(free);
                 if new.is_empty() { old } else { new }
             }
         }
     }
 
-    /// Those servers of the new release whose turn it is.
-    fn in_turn<'a>(&self, now: Time, watch: &Watch, new: Vec<&'a Backend>) -> Vec<&'a Backend> {
-        let turn = now.since(watch.since).0 / TURN.0;
-        let few = self.rollouts.exposure.servers(new.len());
-        let first = (turn as usize * few) % new.len().max(1);
-        let turns = new.iter().cycle().skip(first).take(few);
-        turns.copied().collect()
+    /// Returns the servers of the new release that are exposed at this time.
+    fn exposed_servers<'a>(
+        &self,
+        now: Time,
+        watch: &Watch,
+        new: Vec<&'a Backend>,
+    ) -> Vec<&'a Backend> {
+        let period = now.since(watch.since).0 / EXPOSURE_PERIOD.0;
+        let group = self.rollouts.exposure.servers(new.len());
+        let first = (period as usize * group) % new.len().max(1);
+        let exposed = new.iter().cycle().skip(first).take(group);
+        exposed.copied().collect()
     }
 
-    /// Looks at each roll-out, and asks the store to take what this box finds.
+    /// Checks each open roll-out, and asks the store to record the state that this box wants.
     pub(super) fn watch_rollouts(&mut self, now: Time, out: &mut Vec<Effect>) {
         if self.rollouts.watches.is_empty()
-            || !Control::due(&mut self.rollouts.last_look, LOOK, now)
+            || !Control::due(&mut self.rollouts.last_check, CHECK_PERIOD, now)
         {
             return;
         }
-        self.survey();
+        self.refresh_servers();
         self.judge_overdue(now);
         let open: Vec<Service> = self.rollouts.open().map(|(name, _)| name.clone()).collect();
         for service in open {
-            self.watch_one(now, &service, out);
+            self.check_rollout(now, &service, out);
         }
     }
 
-    fn watch_one(&mut self, now: Time, service: &Service, out: &mut Vec<Effect>) {
+    fn check_rollout(&mut self, now: Time, service: &Service, out: &mut Vec<Effect>) {
         let pool = self.pool(now, service);
         let rank = self.table.rank(service.as_str(), now) as u64;
         let ready = self.supplied && self.control.is_awake(now);
@@ -258,50 +269,50 @@
         if !ready {
             return;
         }
-        if watch.moved.is_none() && watch.may_move(&order, verdict, now) {
-            watch.moved = Some(now);
+        if watch.shifted_at.is_none() && watch.may_move(&order, verdict, now) {
+            watch.shifted_at = Some(now);
             out.push(Effect::Rollout(Step::Moved(service.clone())));
         }
-        let want = watch.want(&order, verdict, now);
-        if watch.wanted.is_none_or(|(before, _)| before != want) {
-            watch.wanted = Some((want, now));
-            watch.asked = None;
-            if want != Standing::Active {
+        let desired = watch.desired_standing(&order, verdict, now);
+        if watch.desired.is_none_or(|(before, _)| before != desired) {
+            watch.desired = Some((desired, now));
+            watch.last_write = None;
+            if desired != Standing::Active {
                 out.push(Effect::Rollout(Step::Judged {
                     service: service.clone(),
-                    standing: want,
+                    standing: desired,
                     finding: watch.finding.unwrap_or_default(),
                 }));
             }
         }
-        let since = watch.wanted.map_or(now, |(_, since)| since);
-        let turn = now.since(since) >= Millis(IN_TURN.0 * rank);
-        let again = Millis(AGAIN.0 * (1 + rank));
-        if watch.entry.standing() != Some(want)
-            && turn
-            && Control::due(&mut watch.asked, again, now)
+        let since = watch.desired.map_or(now, |(_, since)| since);
+        let is_due = now.since(since) >= Millis(RANK_DELAY.0 * rank);
+        let retry_period = Millis(WRITE_RETRY_PERIOD.0 * (1 + rank));
+        if watch.entry.standing() != Some(desired)
+            && is_due
+            && Control::due(&mut watch.last_write, retry_period, now)
         {
             out.push(Effect::Settle {
                 service: service.clone(),
                 order,
-                standing: want,
+                standing: desired,
             });
         }
     }
 
-    /// What all boxes that this one hears of have seen of a roll-out.
+    /// Returns what this box and the boxes that it hears have observed of a roll-out.
     fn pool(&self, now: Time, service: &Service) -> Pool {
         let short = Short::of(service.as_str());
         let order = self.rollouts.watches.get(service).and_then(|w| w.order());
         let revision = order.map(|order| order.revision);
         let here = self.table.trials(self.rollouts.told(now), now);
-        let far = self.table.reachable(now);
-        let far = far.flat_map(|(_, remote)| &remote.digest.trials);
+        let other_regions = self.table.reachable(now);
+        let other_regions = other_regions.flat_map(|(_, remote)| &remote.digest.trials);
         let same = |t: &&Trial| t.service == short && Some(t.order) == revision;
-        Pool::gather(here.iter().chain(far).filter(same))
+        Pool::gather(here.iter().chain(other_regions).filter(same))
     }
 
-    /// The roll-outs as operators see them.
+    /// Returns the roll-outs for the status report.
     pub fn rollouts(&self, now: Time) -> Vec<status::Rollout> {
         let row = |(service, watch): (&Service, &Watch)| {
             let pool = self.pool(now, service);
@@ -311,8 +322,8 @@
                 standing: watch.standing(),
                 within: watch.order().map(|order| order.within),
                 age: now.since(watch.since),
-                moved: watch.moved.is_some(),
-                held: watch.lane(now) == Some(Lane::Held),
+                moved: watch.shifted_at.is_some(),
+                held: watch.traffic_mode(now) == Some(TrafficMode::Blocked),
                 answers: pool.answers(),
                 finding: watch.finding,
             }
--- a/src/reducer/stall.rs
+++ b/src/reducer/stall.rs
@@ -1,7 +1,7 @@
-//! Requests that may be repeated leave a place that stays silent for much longer than expected.
+//! Moves repeatable requests away from a place that stays silent much longer than expected.
 //!
-//! A server that hangs, or whose answer was lost, would hold a request until its caller gives up.
-//! The attempt is aborted only where another place can take the request at once.
+//! A server that hangs, or whose answer was lost, would otherwise hold a request until its caller
+//! gives up. The attempt is aborted only if another place can take the request at once.
 
 use crate::{
     id,
@@ -11,21 +11,23 @@
         effect::{Basis, Effect},
         event::Cause,
         job::{Job, Spot, Stage},
-        outcome::Held,
-        repeat::Claim,
+        outcome::InFlight,
+        repeat::RetryKind,
     },
     retry,
     server::Server,
     unit::{Millis, Time},
 };
 
-/// How many times longer than expected an answer may take to begin.
-const PATIENCE: u64 = 3;
-/// The part of the route's target that is waited in any case: the rest is for the next attempt.
-const TARGET_SHARE: f64 = 0.5;
+/// An attempt counts as stalled after this multiple of its expected time to the first byte, plus
+/// the share of the route's target below.
+const STALL_FACTOR: u64 = 3;
+/// Share of the route's target latency that is always waited; the rest is left for the next
+/// attempt.
+const MIN_TARGET_SHARE: f64 = 0.5;
 
 impl<P: Policy> State<P> {
-    /// Notes when an attempt that just went out counts as stalled.
+    /// Schedules the time at which an attempt that was just sent counts as stalled.
     pub(super) fn watch_stall(&mut self, now: Time, request: id::Request, attempt: id::Attempt) {
         let Some(job) = self.jobs.get(&request).filter(|job| job.repeatable) else {
             return;
@@ -36,8 +38,8 @@
         let Stage::Sent { expected, .. } = &job.stage else {
             return;
         };
-        let base = (target.0 as f64 * TARGET_SHARE) as u64;
-        let wait = Millis(expected.0 * PATIENCE + base);
+        let base = (target.0 as f64 * MIN_TARGET_SHARE) as u64;
+        let wait = Millis(expected.0 * STALL_FACTOR + base);
         self.stalls.insert((now + wait, request, attempt));
     }
 
@@ -48,59 +50,60 @@
                 return;
             }
             self.stalls.pop_first();
-            self.move_one(now, request, attempt, out);
+            self.move_stalled_attempt(now, request, attempt, out);
         }
     }
 
-    fn move_one(
+    fn move_stalled_attempt(
         &mut self,
         now: Time,
         request: id::Request,
         attempt: id::Attempt,
         out: &mut Vec<Effect>,
     ) {
-        let Some(held) = self
+        let Some(in_flight) = self
             .in_hand(request, attempt)
-            .filter(|held| !held.has_begun())
+            .filter(|in_flight| !in_flight.has_begun())
         else {
             return;
         };
-        self.relocate(now, request, attempt, &held, out);
+        self.retry_elsewhere(now, request, attempt, &in_flight, out);
     }
 
-    /// Stops an attempt and sends its request elsewhere, where another place can take it at once.
-    pub(super) fn relocate(
+    /// Stops an attempt and sends its request elsewhere, if another place can take it at once and
+    /// the retry budget allows it.
+    pub(super) fn retry_elsewhere(
         &mut self,
         now: Time,
         request: id::Request,
         attempt: id::Attempt,
-        held: &Held,
+        in_flight: &InFlight,
         out: &mut Vec<Effect>,
     ) {
-        let Some((place, basis)) = self.better_place(now, request) else {
+        let Some((place, basis)) = self.alternative_place(now, request) else {
             return;
         };
         let service = self.jobs[&request].service.clone();
-        if !self.take_repeat(now, request, &service, Claim::Ordinary, out) {
+        if !self.take_retry(now, request, &service, RetryKind::Ordinary, out) {
             return;
         }
-        out.push(match held.has_begun() {
+        out.push(match in_flight.has_begun() {
             true => Effect::Leave { request, attempt },
             false => Effect::Abort { request, attempt },
         });
-        self.release(held, None);
-        self.blame(now, &held.spot, Cause::Silent);
+        self.release(in_flight, None);
+        self.record_failure(now, &in_flight.spot, Cause::Silent);
         if let Some(job) = self.jobs.get_mut(&request) {
             out.extend(job.drop_copy(request));
-            job.ran_at(&held.spot);
-            job.moved |= held.has_begun();
+            job.count_run(&in_flight.spot);
+            job.moved |= in_flight.has_begun();
             job.stage = Stage::Waiting;
         }
         self.send(now, request, place, basis, out);
     }
 
-    /// Another place that would take the request at once, where it may run once more.
-    fn better_place(&self, now: Time, request: id::Request) -> Option<(Place, Basis)> {
+    /// Returns another place that would take the request at once, if the request may run once more.
+    fn alternative_place(&self, now: Time, request: id::Request) -> Option<(Place, Basis)> {
         let job = self.jobs.get(&request)?;
         let spent = job.runs < 2 || job.attempts >= retry::MAX_ATTEMPTS;
         if spent || self.awaits_word(now, job) || self.withheld(now, job).is_some() {
@@ -121,8 +124,8 @@
 }
 
 impl Job {
-    /// Counts the runs that an attempt at `spot` may have used.
-    pub(super) fn ran_at(&mut self, spot: &Spot) {
+    /// Subtracts the runs that an attempt at `spot` may have used.
+    pub(super) fn count_run(&mut self, spot: &Spot) {
         self.may_have_run = true;
         let used = match spot {
             Spot::Chosen(Place::Region(_), _) => self.lent(),
@@ -131,7 +134,8 @@
         self.runs = self.runs.saturating_sub(used);
     }
 
-    /// The runs that another region may use: one is kept for the case that it stays silent.
+    /// Returns how many runs another region may use; one is kept in case that region does not
+    /// answer.
     pub(super) fn lent(&self) -> u32 {
         self.runs.saturating_sub(1).max(1)
     }
--- a/src/reducer/status.rs
+++ b/src/reducer/status.rs
@@ -1,4 +1,4 @@
-//! What operators see: the state of a box, and where a request would go.
+//! Operator views: the state of a box, and where a request would go.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,44 +20,44 @@
 /// One box's view of the system.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The box that tells.
+    /// The name of the box.
     pub name: BoxName,
-    /// Its region.
+    /// The region of the box.
     pub region: Region,
     /// The configuration in force; zero without one.
     pub version: Version,
-    /// Whether it takes work.
+    /// Whether the box takes work.
     pub phase: Phase,
-    /// Whether it watches the store.
+    /// Whether the box watches the store.
     pub watching: bool,
-    /// Requests in hand.
+    /// Requests in flight or waiting.
     pub requests: usize,
     /// Requests that wait for a slot.
     pub waiting: usize,
-    /// Keys remembered.
+    /// Idempotency keys remembered.
     pub keys: usize,
-    /// What it can carry beside others; none where its settings don't tell.
+    /// Capacity relative to other boxes; none if the settings do not give it.
     #[serde(default)]
     pub weight: Option<u16>,
-    /// Whether it has so much in hand that callers are sent elsewhere.
+    /// Whether the box is so busy that callers are sent elsewhere.
     #[serde(default)]
     pub full: bool,
-    /// The boxes of its region.
+    /// The other boxes of the region.
     pub boxes: Vec<Peer>,
     /// The other regions.
     pub regions: Vec<Remote>,
-    /// The backend servers of its region.
+    /// The backend servers of the region.
     pub backends: Vec<Backend>,
     /// The customers that have an allotment.
     #[serde(default)]
     pub customers: Vec<Allotted>,
-    /// Contents that are held back because backend servers ended under them.
+    /// Contents that are quarantined because backend servers crashed while they ran them.
     #[serde(default)]
     pub held: Vec<HeldBack>,
     /// The customers whom this box served worst in the last minute.
     #[serde(default)]
     pub worst: Vec<service::Row>,
-    /// The roll-outs that the store tells of.
+    /// The roll-outs recorded in the store.
     #[serde(default)]
     pub rollouts: Vec<Rollout>,
 }
@@ -67,87 +67,88 @@
 pub struct Rollout {
     /// The service.
     pub service: Service,
-    /// The release that is to serve.
+    /// The release that is rolled out.
     pub release: Option<Release>,
-    /// What the store holds of it.
+    /// The recorded state.
     pub standing: Option<Standing>,
-    /// The time that the order gives; none where it was withdrawn.
+    /// The time within which the order is to be complete; none if it was withdrawn.
     pub within: Option<Millis>,
     /// Time since the order.
     pub age: Millis,
     /// Whether traffic has moved to the new release.
     pub moved: bool,
-    /// Whether the new release gets nothing.
+    /// Whether the new release gets no requests.
     pub held: bool,
-    /// What the other releases answered since the order, and the new one.
+    /// Answers since the order: those of the other releases, and those of the new one.
     pub answers: (Count, Count),
-    /// What weighs most against the new release.
+    /// The strongest finding against the new release.
     pub finding: Option<Finding>,
 }
 
-/// A content that is held back.
+/// A quarantined content.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeldBack {
-    /// Its fingerprint, as the log tells it and `petreldrum pardon` takes it.
+    /// Its fingerprint, as logged and as accepted by `petreldrum pardon`.
     pub content: String,
-    /// How much longer.
+    /// The remaining time.
     pub left: Millis,
 }
 
-/// A customer's allotment, and how it is used as far as this box knows.
+/// A customer's allotment, and its use as far as this box knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Allotted {
     /// The customer.
     pub name: id::Customer,
-    /// What is counted.
+    /// The unit of the allotment.
     pub unit: String,
     /// Units a second over all boxes.
     pub rate: Rate,
-    /// Units that all boxes let in lately; they fade within the span in which the rate brings them back.
+    /// Units that all boxes admitted recently, fading within the span in which the rate restores
+    /// them.
     pub used: f64,
-    /// Units that all boxes were asked for lately.
+    /// Units recently requested at all boxes.
     pub offered: f64,
-    /// The use at which nothing more is let in.
+    /// The use at which nothing more is admitted.
     pub limit: f64,
-    /// Requests that this box let in since it started.
+    /// Requests that this box admitted since it started.
     pub admitted: u64,
-    /// Requests that this box refused for it since it started.
+    /// Requests that this box refused since it started because the allotment was used up.
     pub refused: u64,
 }
 
-/// How this box's retry budget for one service is used.
+/// The use of this box's retry budget for one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Repeats {
     /// The service.
     pub service: Service,
-    /// How often an attempt beyond the first was asked for since the start, and what became of it.
+    /// Outcomes of the retries requested since the start.
     pub counts: retry::Counts,
-    /// What the budget holds.
+    /// The balance of the budget.
     pub balance: retry::Balance,
-    /// Boxes that share the slack; none where the box cannot know.
+    /// Boxes that share the slack; none if the box cannot know.
     pub boxes: Option<usize>,
 }
 
 /// Another box of the region.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the box.
     pub name: BoxName,
-    /// Its failure domain.
+    /// The failure domain of the box.
     pub domain: Domain,
-    /// The configuration it had in force when last heard.
+    /// The configuration in force there when last heard.
     pub version: Version,
-    /// Whether it takes work.
+    /// Whether the box takes work.
     pub phase: Phase,
-    /// Time since it was last heard.
+    /// Time since the box was last heard.
     pub silent: Millis,
-    /// What it can carry beside others, as far as it told that.
+    /// Capacity relative to other boxes, if the box reports it.
     #[serde(default)]
     pub weight: Option<u16>,
-    /// Whether it is full.
+    /// Whether the box is full.
     #[serde(default)]
     pub full: bool,
-    /// Requests that it had in hand when last heard.
+    /// Requests in flight there when last heard.
     #[serde(default)]
     pub busy: u32,
 }
@@ -155,46 +156,46 @@
 /// Another region.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Remote {
-    /// Its name.
+    /// The name of the region.
     pub name: Region,
     /// The newest configuration there when last heard.
     pub version: Version,
-    /// Time since it was last heard.
+    /// Time since the region was last heard.
     pub silent: Millis,
-    /// The boxes to reach it by.
+    /// The boxes through which the region is reached.
     pub doors: Vec<BoxName>,
 }
 
 /// A backend server of the region.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name.
+    /// The name of the backend server.
     pub name: id::Backend,
-    /// Whether it gets new work.
+    /// Whether the backend server gets new work.
     pub used: bool,
-    /// Why, in a word.
+    /// The reason, in a few words.
     pub reason: String,
-    /// Work in hand there, by all boxes of the region.
+    /// Requests in flight there, from all boxes of the region.
     pub busy: u32,
-    /// Slots it gets now.
+    /// Slots that may be used now; fewer than the server has while it ramps up after an outage.
     pub slots: u32,
     /// Expected time to the first byte.
     pub first: Millis,
-    /// What it says that it takes from all boxes, where it says so.
+    /// The rate limit that the server announces for all boxes, if any.
     #[serde(default)]
     pub limit: Option<Limit>,
 }
 
-/// What a backend server says that it takes.
+/// The rate limit that a backend server announces.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Limit {
     /// Requests a second, from all boxes together.
     pub rate: Rate,
-    /// What this box may send of it.
+    /// The part of it that this box may send.
     pub share: Rate,
-    /// The box that told this one; none where the server itself did.
+    /// The box that reported the limit; none if the server itself did.
     pub teller: Option<BoxName>,
-    /// How long ago that was so.
+    /// The age of the report.
     pub age: Millis,
 }
 
@@ -212,21 +213,22 @@
 /// Where a request would go, and why.
 #[derive(Clone, Debug, Serialize)]
 pub struct Explanation {
-    /// The configuration it was decided by.
+    /// The configuration that was applied.
     pub version: Version,
-    /// The selector that decided.
+    /// The selector that matched.
     pub selector: Selector,
-    /// What must serve it.
+    /// The service that must answer the request.
     pub service: Service,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeatable: bool,
-    /// The regions it may run in.
+    /// The regions where the request may run.
     pub regions: Vec<Region>,
-    /// The places that could take it now.
+    /// The places that could take the request now.
     pub candidates: Vec<Candidate>,
-    /// Backend servers of this region that serve it but get no work from it, and why.
+    /// Backend servers of this region that serve the service but get no work from the request, and
+    /// why.
     pub left_out: Vec<LeftOut>,
-    /// What would be done.
+    /// The resulting choice.
     pub choice: Choice,
 }
 
@@ -235,11 +237,11 @@
 pub struct LeftOut {
     /// The backend server.
     pub backend: id::Backend,
-    /// Why, in a word.
+    /// The reason, in a few words.
     pub reason: &'static str,
 }
 
-fn reason(exclusion: Option<Exclusion>) -> &'static str {
+fn exclusion_reason(exclusion: Option<Exclusion>) -> &'static str {
     match exclusion {
         None => "in use",
         Some(Exclusion::Configured) => "leaving, by the configuration",
@@ -264,7 +266,7 @@
         held.iter().map(row).collect()
     }
 
-    /// This box's view at `now`.
+    /// Returns this box's view at `now`.
     pub fn status(&self, now: Time) -> Status {
         let peers = self.table.peers().map(|peer| Peer {
             name: peer.last.contact.name.clone(),
@@ -320,7 +322,7 @@
                 Backend {
                     name: b.name.clone(),
                     used: excluded.is_none(),
-                    reason: reason(excluded).to_owned(),
+                    reason: exclusion_reason(excluded).to_owned(),
                     busy: server.busy + self.table.busy(Short::of(b.name.as_str()), now),
                     slots: server.slots(b.slots, now),
                     first: server.first(),
@@ -332,7 +334,7 @@
         rows
     }
 
-    /// Where a request would go at `now`, without sending it.
+    /// Returns where a request would go at `now`, without sending it.
     pub fn explain(&self, now: Time, ask: Ask, prefix: u64) -> Result<Explanation, String> {
         let config = self.config.as_ref().ok_or("no configuration is in force")?;
         let plan = config.plan(&ask).map_err(|refusal| refusal.to_string())?;
@@ -354,7 +356,7 @@
                 let reason = match () {
                     () if !plan.permits(&b.region) => "its region is not permitted",
                     () if !plan.allows(b) => "its labels do not match the selector",
-                    () if excluded.is_some() => reason(excluded),
+                    () if excluded.is_some() => exclusion_reason(excluded),
                     () if self.limit_wait(now, &b.name, 0.0).is_none() => {
                         "other boxes share the limit that it names"
                     }
--- a/src/reducer/subset.rs
+++ b/src/reducer/subset.rs
@@ -1,10 +1,11 @@
-//! The few of a region's thousands of backend servers that a request looks at first.
+//! The subset of a region's thousands of backend servers that a request considers first.
 //!
-//! Load pattern: 1,274 requests a second over 984 boxes and 9,552 engines, of whose slots 0.2% are in use. A box
-//! that chooses among 4,328 engines each time opens a channel a request, finds no part of a prompt cached, and
-//! spends a quarter of its processor time on looking at them (samples of 39 boxes in traffic). So a request
-//! looks at a few by a key, and at all where none of these would take it at once: what is cold, leaving, limited,
-//! busy or failing is made up for in the same decision.
+//! Load pattern: 1,274 requests a second over 984 boxes and 9,552 engines, of whose slots 0.2% are
+//! in use. A box that chooses among 4,328 engines each time opens a connection per request, finds
+//! no part of a prompt cached, and spends a quarter of its processor time on examining them. So a
+//! request considers a few servers selected by a key, and all servers if none of these would take
+//! it at once. Cold, leaving, limited, busy or failing servers are thereby compensated for in the
+//! same decision.
 
 use crate::{
     config::Backend,
@@ -21,92 +22,104 @@
     wire::Short,
 };
 
-/// Servers of a region up to which a request looks at all of them: 17 us a decision at 34 ns a server.
-const ALL: usize = 512;
-/// Servers by a box's own name: some 200 slots, for a box that has a few requests in hand.
-const OWN: usize = 16;
-/// Servers by a long part or the beginning of a prompt, alike at every box.
-const OWNERS: usize = 4;
-/// Where the chosen server is busier than this, all are looked at: more are used as load grows, before any is full.
-const HALF: f64 = 0.5;
-/// Where the chosen server fails this share of its requests, all are looked at.
-const FAILING: f64 = 0.05;
+/// Number of servers of a region up to which a request considers all of them: 17 us a decision at
+/// 34 ns a server.
+const FULL_SCAN_MAX: usize = 512;
+/// Number of servers selected by a box's own name: some 200 slots, for a box that has a few
+/// requests in flight.
+const OWN_SUBSET_SIZE: usize = 16;
+/// Number of servers selected by a long part or by the beginning of a prompt, the same at every
+/// box.
+const SHARED_SUBSET_SIZE: usize = 4;
+/// Load of the chosen server above which all servers are considered, so that more of them are used
+/// as load grows, before any is full.
+const MAX_EASY_LOAD: f64 = 0.5;
+/// Failure rate of the chosen server from which all servers are considered.
+const MAX_EASY_FAILURE_RATE: f64 = 0.05;
 
 impl Decision {
-    /// Whether a server of this region takes the request at once and has room for more, so that it is not worth
-    /// looking at the others.
+    /// Reports whether a server of this region takes the request at once and has room for more, so
+    /// that the other servers need not be considered.
     pub(super) fn is_easy(&self) -> bool {
         let Choice::Send(place @ Place::Backend(_)) = &self.choice else {
             return false;
         };
         let chosen = self.candidates.iter().find(|c| c.place == *place);
         chosen.is_some_and(|c| {
-            c.free > 0 && c.wait == Millis(0) && c.load <= HALF && c.failing < FAILING
+            c.free > 0
+                && c.wait == Millis(0)
+                && c.load <= MAX_EASY_LOAD
+                && c.failing < MAX_EASY_FAILURE_RATE
         })
     }
 }
 
-/// What a request's few servers are found by.
-struct Few {
-    /// Where they begin on the ring of names.
+/// How a request's subset of servers is selected.
+struct Subset {
+    /// Start position on the hash ring of server names.
     key: u64,
-    /// How many are looked at.
-    most: usize,
+    /// Maximum number of servers to take from the ring.
+    size: usize,
 }
 
 impl<P: Policy> State<P> {
-    /// The few servers of this region that a request looks at first; none where it looks at all of them.
+    /// Returns the subset of this region's servers that a request considers first, or `None` if it
+    /// considers all of them.
     pub(super) fn few(&self, wish: &Wish<'_>) -> Option<Vec<&Backend>> {
         // A roll-out needs servers of both releases.
         match self.is_watched(&wish.plan.service, wish.now) {
             true => None,
-            false => self.near(wish, &self.table.me.region),
+            false => self.subset_around(wish, &self.table.me.region),
         }
     }
 
-    /// The servers of another region by which it is judged; all of them where they are not too many.
+    /// Returns the servers by which another region is assessed: a subset, or all of them if there
+    /// are few.
     pub(super) fn some_there(&self, wish: &Wish<'_>, region: &Region) -> Vec<&Backend> {
         let all = || self.fleet.serving(&wish.plan.service, region).collect();
-        self.near(wish, region).unwrap_or_else(all)
+        self.subset_around(wish, region).unwrap_or_else(all)
     }
 
-    /// Servers that hold the longest part of the prompt, as far as this box knows, and those next to its key;
-    /// none in a region where all may be looked at.
-    fn near(&self, wish: &Wish<'_>, region: &Region) -> Option<Vec<&Backend>> {
+    /// Returns the servers next to the request's key, and those known to hold the longest part of
+    /// its prompt; `None` in a region small enough to consider all servers.
+    fn subset_around(&self, wish: &Wish<'_>, region: &Region) -> Option<Vec<&Backend>> {
         let service = &wish.plan.service;
-        if self.fleet.count(service, region) <= ALL {
+        if self.fleet.count(service, region) <= FULL_SCAN_MAX {
             return None;
         }
         let long = wish.job.prompt.as_ref().and_then(Prompt::longest);
         let long = long.filter(|part| part.tokens >= cache::LONG);
-        let few = match (long, &wish.job.prompt) {
-            (Some(part), _) => Few {
+        let subset = match (long, &wish.job.prompt) {
+            (Some(part), _) => Subset {
                 key: part.id,
-                most: OWNERS,
+                size: SHARED_SUBSET_SIZE,
             },
-            (None, None) => Few {
+            (None, None) => Subset {
                 key: wish.job.prefix,
-                most: OWNERS,
+                size: SHARED_SUBSET_SIZE,
             },
-            // What is short is read anywhere: the fewer servers, the fewer channels.
-            (None, Some(_)) => Few {
+            // Any server reads a short prompt quickly; fewer servers mean fewer connections.
+            (None, Some(_)) => Subset {
                 key: weight(&self.table.me.name, service.as_str()),
-                most: OWN,
+                size: OWN_SUBSET_SIZE,
             },
         };
         let usable = |b: &&Backend| wish.plan.allows(b) && self.excluded(wish.now, b).is_none();
-        let around = self.fleet.around(service, region, few.key).filter(usable);
-        let mut near: Vec<&Backend> = around.take(few.most).collect();
+        let around = self
+            .fleet
+            .around(service, region, subset.key)
+            .filter(usable);
+        let mut servers: Vec<&Backend> = around.take(subset.size).collect();
         let holders = long
             .into_iter()
             .flat_map(|part| self.cache.holders(part.id));
         let holders = holders.filter_map(|short: Short| self.fleet.get(self.fleet.long(short)?));
         let holders = holders.filter(|b| b.region == *region && b.serves.contains(service));
         for holder in holders {
-            if !near.iter().any(|b| b.name == holder.name) {
-                near.push(holder);
+            if !servers.iter().any(|b| b.name == holder.name) {
+                servers.push(holder);
             }
         }
-        Some(near)
+        Some(servers)
     }
 }
--- a/src/reducer/suspect.rs
+++ b/src/reducer/suspect.rs
@@ -1,11 +1,11 @@
-//! Which content ended a backend server: who was there, whether it ended, and what the boxes tell each
-//! other of it.
+//! Finds out which request content crashed a backend server, and shares the evidence between boxes.
 //!
-//! Load pattern: a server that ends breaks tens of attempts of several boxes within milliseconds. A broken
-//! connection alone proves no end, since servers reset some and links are cut; so the box knocks at the
-//! server's port, twice where it is open at first, and only a closed port is the end of that life. What it then knows goes
-//! to every box at once, and what is held back stands in the messages that the boxes exchange anyway: a box
-//! that started, woke or was cut off learns it from the first of them.
+//! Load pattern: a server that crashes breaks tens of attempts of several boxes within
+//! milliseconds. A broken connection alone does not prove a crash, since servers reset connections
+//! and links are cut. The box therefore probes the server's port, twice if it is open at first;
+//! only a closed port counts as the end of that incarnation. The result is sent to every box at
+//! once, and quarantined contents are also part of the messages that boxes exchange regularly, so a
+//! box that started, resumed or was cut off learns them from the first such message.
 
 use std::collections::HashMap;
 
@@ -24,33 +24,34 @@
     wire::{Body, Frame, Marks},
 };
 
-/// Strikes and clearings that one message tells of: about 1.5 KB.
-const MAX_TOLD: usize = 64;
-/// Suspects that are remembered for one server while it is knocked at; a batch of an engine is 64.
-const MAX_SUSPECTS: usize = 128;
+/// Maximum number of strikes, or of cleared contents, in one message: about 1.5 KB.
+const MAX_MARKS_PER_MESSAGE: usize = 64;
+/// Maximum number of strikes kept for one server while it is probed; an engine's batch is 64.
+const MAX_STRIKES_PER_PROBE: usize = 128;
 
-/// How long a request waits for word of a server that is knocked at: two knocks and the time between them
-/// take 400 ms at most.
-const WORD_PATIENCE: Millis = Millis(500);
+/// How long a request waits for the result of a probe: two connection attempts and the time between
+/// them take 400 ms at most.
+const PROBE_TIMEOUT: Millis = Millis(500);
 
-/// A server that is knocked at.
+/// A probe of a server's port that has not reported yet.
 #[derive(Debug)]
-struct Knock {
+struct Probe {
     since: Time,
-    /// What its end would say.
+    /// The strikes to record if the server has crashed.
     strikes: Vec<Strike>,
 }
 
-/// Attempts that broke at servers which may have ended.
+/// Attempts that broke at servers which may have crashed.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
-    knocks: HashMap<id::Backend, Knock>,
-    /// Contents whose clearing the others are to hear of.
+    probes: HashMap<id::Backend, Probe>,
+    /// Cleared contents that the other boxes have not been told of yet.
     cleared: Vec<Fingerprint>,
 }
 
-impl Knock {
-    /// What the server's end would say of `content`; one end counts once, whatever broke there.
+impl Probe {
+    /// Returns the weight of a crash as evidence against `content`, if it ran there. One crash
+    /// counts once, however many attempts with that content broke.
     fn weight(&self, content: &Fingerprint) -> Option<u32> {
         let same = self.strikes.iter().filter(|s| s.content == *content);
         same.map(|strike| strike.weight).max()
@@ -58,30 +59,30 @@
 }
 
 impl<P: Policy> State<P> {
-    /// Notes an attempt whose connection to its backend server broke, and finds out whether the server
-    /// has ended.
-    pub(super) fn suspect(
+    /// Records an attempt whose connection to its backend server broke, and probes whether the
+    /// server has crashed.
+    pub(super) fn probe_after_break(
         &mut self,
         now: Time,
         request: id::Request,
-        held: &outcome::Held,
+        in_flight: &outcome::InFlight,
         out: &mut Vec<Effect>,
     ) {
-        let Spot::Chosen(Place::Backend(name), _) = &held.spot else {
+        let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot else {
             return;
         };
         let Some(job) = self.jobs.get(&request) else {
             return;
         };
-        let begun = held.begun.map(|at| now.since(at));
+        let begun = in_flight.begun.map(|at| now.since(at));
         out.push(Effect::Broken {
             request,
             backend: name.clone(),
             content: job.content,
-            age: now.since(held.at),
+            age: now.since(in_flight.at),
             begun,
         });
-        // The end of one that was leaving is no surprise.
+        // The end of a server that was leaving is expected.
         let Some(backend) = self.fleet.get(name).filter(|backend| !backend.leaving) else {
             return;
         };
@@ -91,23 +92,24 @@
             weight: quarantine::weight(begun),
         };
         let address = backend.address;
-        let knocks = &mut self.suspects.knocks;
-        // Word that comes later may speak of the next life.
-        knocks.retain(|_, knock| now.since(knock.since) < WORD_PATIENCE);
-        if !knocks.contains_key(name) {
+        let probes = &mut self.suspects.probes;
+        // A later result may concern the server's next incarnation.
+        probes.retain(|_, probe| now.since(probe.since) < PROBE_TIMEOUT);
+        if !probes.contains_key(name) {
             let backend = name.clone();
             out.push(Effect::Knock { backend, address });
         }
-        let knock = knocks.entry(name.clone()).or_insert(Knock {
+        let probe = probes.entry(name.clone()).or_insert(Probe {
             since: now,
             strikes: Vec::new(),
         });
-        if knock.strikes.len() < MAX_SUSPECTS {
-            knock.strikes.push(strike);
+        if probe.strikes.len() < MAX_STRIKES_PER_PROBE {
+            probe.strikes.push(strike);
         }
     }
 
-    /// Takes word of a server that was knocked at: where it ended, what was in hand there is struck.
+    /// Handles the result of a probe: if the server has ended, records a strike for each content
+    /// that was in flight there.
     pub(super) fn knocked(
         &mut self,
         now: Time,
@@ -116,24 +118,24 @@
         out: &mut Vec<Effect>,
     ) {
         self.judge_broken(backend, closed);
-        let knock = self.suspects.knocks.remove(backend);
-        let strikes = knock.filter(|_| closed).map(|knock| knock.strikes);
-        let mut news = Vec::new();
+        let probe = self.suspects.probes.remove(backend);
+        let strikes = probe.filter(|_| closed).map(|probe| probe.strikes);
+        let mut new_strikes = Vec::new();
         for strike in strikes.into_iter().flatten() {
-            if self.strike(now, strike, out) {
-                news.push(strike);
-                self.keep(now, strike.content, out);
+            if self.record_strike(now, strike, out) {
+                new_strikes.push(strike);
+                self.store_quarantined(now, strike.content, out);
             }
         }
-        for strikes in news.chunks(MAX_TOLD) {
-            self.tell_marks(now, strikes.to_vec(), Vec::new(), out);
+        for strikes in new_strikes.chunks(MAX_MARKS_PER_MESSAGE) {
+            self.broadcast_marks(now, strikes.to_vec(), Vec::new(), out);
         }
-        // What waited for the word may go on, where it is not held back now.
+        // Requests that waited for the result may continue unless they are quarantined now.
         self.drain_all(now, out);
     }
 
-    /// Notes a whole answer: it speaks for its content.
-    pub(super) fn exonerate(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
+    /// Clears a content after a complete answer or an operator's pardon.
+    pub(super) fn clear_content(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
         let Some(step) = self.quarantine.clear(content, now) else {
             return;
         };
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Keeps in the store what this box's own word has proved.
-    fn keep(&self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
+    /// Stores a quarantined content if this box itself found the evidence.
+    fn store_quarantined(&self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
         if !self.registry {
             return;
         }
@@ -153,21 +155,23 @@
         out.extend(left.map(|left| Effect::Keep(Held { content, left })));
     }
 
-    /// Takes the store's word for a content; it does not say for how much longer.
+    /// Quarantines a content that the store holds. The store does not give the remaining time, so
+    /// the full period is used.
     pub(super) fn kept(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
         let left = quarantine::HOLD;
         self.hear_held(now, &[Held { content, left }], out);
     }
 
-    /// Tells the others what was cleared since the last tick.
+    /// Sends the other boxes the contents cleared since the last tick.
     pub(super) fn tell_cleared(&mut self, now: Time, out: &mut Vec<Effect>) {
         let cleared = std::mem::take(&mut self.suspects.cleared);
-        for cleared in cleared.chunks(MAX_TOLD) {
-            self.tell_marks(now, Vec::new(), cleared.to_vec(), out);
+        for cleared in cleared.chunks(MAX_MARKS_PER_MESSAGE) {
+            self.broadcast_marks(now, Vec::new(), cleared.to_vec(), out);
         }
     }
 
-    /// Takes what another box tells of contents, and passes it on where asked.
+    /// Applies strikes and cleared contents received from another box, and forwards them if
+    /// requested.
     pub(super) fn hear_marks(
         &mut self,
         now: Time,
@@ -176,16 +180,17 @@
         out: &mut Vec<Effect>,
     ) {
         for strike in &marks.strikes {
-            // Who knows better says so, to all.
+            // This box has a complete answer for the content, so it tells all boxes that it is
+            // cleared.
             if self.quarantine.has_alibi(&strike.content, now) {
                 self.suspects.cleared.push(strike.content);
                 continue;
             }
-            self.strike(now, *strike, out);
+            self.record_strike(now, *strike, out);
         }
         for content in &marks.cleared {
-            // One box that says so is enough.
-            self.suspects.cleared.retain(|told| told != content);
+            // Another box has announced it already.
+            self.suspects.cleared.retain(|other| other != content);
             let step = self.quarantine.clear(*content, now);
             out.extend(step.map(Effect::Quarantine));
         }
@@ -198,62 +203,62 @@
         }
     }
 
-    /// Takes what another box holds back.
+    /// Applies the quarantined contents received from another box.
     pub(super) fn hear_held(&mut self, now: Time, held: &[Held], out: &mut Vec<Effect>) {
         for held in held {
             if self.quarantine.has_alibi(&held.content, now) {
                 self.suspects.cleared.push(held.content);
             } else if let Some(step) = self.quarantine.hold(*held, now) {
-                self.take_step(now, step, out);
+                self.apply_step(now, step, out);
             }
         }
     }
 
-    /// Lets a content run again, by an operator's word.
+    /// Lets a content run again on an operator's request.
     pub(super) fn pardon(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
-        self.exonerate(now, content, out);
+        self.clear_content(now, content, out);
         self.tell_cleared(now, out);
     }
 
-    /// The answer to a request whose content is held back; none where it may run.
+    /// Returns the refusal for a request whose content is quarantined, or `None` if it may run.
     pub(super) fn withheld(&self, now: Time, job: &Job) -> Option<Reply> {
         let left = self.quarantine.held(&job.content, now)?;
         let reason = "it is held back: backend servers ended while they ran the same request";
         Some(Reply::new(503, job.verdict(), reason).after(left))
     }
 
-    /// Whether a server is being knocked at whose end would be the proof against the job's content: the
-    /// next server is not risked before that is known. Without it a stream went on to a fourth server in the
-    /// milliseconds that the knock took, in 2 of 10 runs of ten such requests at two boxes; in none of 16
-    /// with it.
+    /// Reports whether a server is being probed whose crash would be the last evidence needed to
+    /// quarantine the job's content. No further server is risked before the result is known.
+    /// Without this wait a stream went on to a fourth server in the milliseconds that the probe
+    /// took, in 2 of 10 runs of ten such requests at two boxes; with it, in none of 16.
     pub(super) fn awaits_word(&self, now: Time, job: &Job) -> bool {
-        let knocks = self.suspects.knocks.values();
-        let weight: u32 = knocks
-            .filter(|knock| now.since(knock.since) < WORD_PATIENCE)
-            .filter_map(|knock| knock.weight(&job.content))
+        let probes = self.suspects.probes.values();
+        let weight: u32 = probes
+            .filter(|probe| now.since(probe.since) < PROBE_TIMEOUT)
+            .filter_map(|probe| probe.weight(&job.content))
             .sum();
         weight > 0 && self.quarantine.would_hold(&job.content, weight)
     }
 
-    /// Takes a strike; true where it is news.
-    fn strike(&mut self, now: Time, strike: Strike, out: &mut Vec<Effect>) -> bool {
+    /// Records a strike; returns whether it was new.
+    fn record_strike(&mut self, now: Time, strike: Strike, out: &mut Vec<Effect>) -> bool {
         let Some(step) = self.quarantine.strike(strike, now) else {
             return false;
         };
-        self.take_step(now, step, out);
+        self.apply_step(now, step, out);
         true
     }
 
-    fn take_step(&mut self, now: Time, step: Step, out: &mut Vec<Effect>) {
+    fn apply_step(&mut self, now: Time, step: Step, out: &mut Vec<Effect>) {
         out.push(Effect::Quarantine(step));
         if let Step::Held { content, .. } = step {
-            self.recall(now, content, out);
+            self.refuse_pending(now, content, out);
         }
     }
 
-    /// Ends what this box has in hand of a content that is held back from now on: what waits, and what
-    /// was sent and has not begun, so that no further server begins it.
-    fn recall(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
+    /// Refuses this box's pending requests of a content that was just quarantined: those waiting,
+    /// and those sent whose answer has not begun, so that no further server starts them.
+    fn refuse_pending(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
         let same = self.jobs.iter().filter(|(_, job)| job.content == content);
         let pending = same.filter(|(_, job)| match &job.stage {
             Stage::Waiting => true,
@@ -279,8 +284,9 @@
         }
     }
 
-    /// Tells every box of the region, and one of each other region that passes it on there.
-    fn tell_marks(
+    /// Sends strikes and cleared contents to every box of the region, and to one box of each other
+    /// region, which forwards them there.
+    fn broadcast_marks(
         &mut self,
         now: Time,
         strikes: Vec<Strike>,
--- a/src/reducer/watch.rs
+++ b/src/reducer/watch.rs
@@ -1,5 +1,5 @@
-//! One service's roll-out as a box sees it: which servers get requests, when traffic moves, and what end the
-//! box wants.
+//! One service's roll-out as seen by a box: which servers get requests, when traffic moves, and
+//! which end the box wants recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,74 +12,86 @@
     wire::{Short, Trial},
 };
 
-/// How long before its time is over the traffic of a roll-out moves, at most, and the part of its time: what
-/// runs at the old servers ends meanwhile, since they are stopped without a wait.
-const LEAD: (Millis, u64) = (Millis(3000), 4);
-/// How long before that time the end is written, at most, and the part of its time: the store may be slow.
-const FINISH: (Millis, u64) = (Millis(700), 10);
-/// How long traffic has moved at least before the end is written: all boxes move within a few looks.
-const MOVING: Millis = Millis(500);
-/// How many times its time a roll-out is watched that nothing can be said of, before it is rolled back.
-const PATIENCE: u64 = 2;
-/// For how long after its end the old servers are left alone: they are stopped, and vanish from the list.
-const SETTLE: Millis = Millis(60_000);
-/// How long some of the new servers get what is exposed before others do, and for how much of it: in the rest
-/// each box saves up what it may send, so that they are loaded more than evenly.
-pub(super) const TURN: Millis = Millis(1500);
-const OPEN: Millis = Millis(750);
+/// How long before an order's time is over its traffic moves: at most this long, and at most the
+/// time divided by the second value. Requests in flight at the old servers end in between, since
+/// these servers are stopped without a grace period.
+const SHIFT_LEAD: (Millis, u64) = (Millis(3000), 4);
+/// How long before an order's time is over its end is written, bounded in the same way: the store
+/// may be slow.
+const END_LEAD: (Millis, u64) = (Millis(700), 10);
+/// Minimum time between the move of traffic and the end: all boxes move within a few checks.
+const MIN_SHIFT_TIME: Millis = Millis(500);
+/// Multiple of its order's time after which a roll-out is rolled back if its traffic could not
+/// move.
+const OVERDUE_FACTOR: u64 = 2;
+/// How long the old servers get no requests after the end: they are stopped meanwhile and vanish
+/// from the list.
+const POST_ROLLOUT_PERIOD: Millis = Millis(60_000);
+/// How long one group of the new servers gets the exposed requests before the next one does, and
+/// for how much of it. In the rest each box saves up requests, so that the servers get more than an
+/// even load.
+pub(super) const EXPOSURE_PERIOD: Millis = Millis(1500);
+const EXPOSURE_OPEN: Millis = Millis(750);
 
 /// Which servers of a service get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lane {
-    /// Those of the new release get a small part.
-    Watched,
-    /// Those of the new release get all that they can take.
-    Moved,
-    /// Those of the new release get nothing.
-    Held,
-    /// Only those of the new release get anything.
-    Done,
+pub(super) enum TrafficMode {
+    /// Servers of the new release get a small part.
+    Trial,
+    /// Servers of the new release get all that they can take.
+    Shifted,
+    /// Servers of the new release get nothing.
+    Blocked,
+    /// Only servers of the new release get anything.
+    NewOnly,
 }
 
-/// One service's roll-out as this box sees it.
+/// One service's roll-out as seen by this box.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     pub(super) entry: Entry,
-    /// When the order was given, as far as any box knows.
+    /// When the order was given: the earliest time known to any box.
     pub(super) since: Time,
     pub(super) permits: Permits,
-    /// What this box saw, by route.
+    /// The answers that this box counted, by route.
     pub(super) trials: BTreeMap<Short, Trial>,
     pub(super) judge: Judge,
     /// When traffic moved to the new release.
-    pub(super) moved: Option<Time>,
-    /// What this box wants written, and since when.
-    pub(super) wanted: Option<(Standing, Time)>,
-    pub(super) asked: Option<Time>,
-    /// When the end was read.
-    pub(super) ended: Option<Time>,
-    /// Whether there are servers of proven other releases, and whether there ever were since the order.
-    pub(super) others: bool,
-    pub(super) had_others: bool,
-    /// Whether servers of the new release take work.
-    pub(super) staffed: bool,
-    /// Whether they do in each region where others do.
-    pub(super) covering: bool,
+    pub(super) shifted_at: Option<Time>,
+    /// The state that this box wants recorded, and since when it does.
+    pub(super) desired: Option<(Standing, Time)>,
+    pub(super) last_write: Option<Time>,
+    /// When this box first read that the roll-out has ended.
+    pub(super) end_read_at: Option<Time>,
+    /// Whether servers of other releases than the new and the unproven ones are in use, and whether
+    /// there were any since the order.
+    pub(super) has_old_servers: bool,
+    pub(super) had_old_servers: bool,
+    /// Whether servers of the new release are in use.
+    pub(super) has_new_servers: bool,
+    /// Whether they are in every region where servers of other releases are.
+    pub(super) covers_regions: bool,
     /// Releases that were ordered before and not shown to be good.
     pub(super) unproven: BTreeSet<Release>,
-    /// Whether nobody stops the old servers at the end: they then get nothing for as long as it stands.
-    pub(super) lasting: bool,
-    /// What decided, for operators.
+    /// Whether nobody stops the old servers at the end. They then get no requests for as long as
+    /// the order stays completed.
+    pub(super) old_servers_stay: bool,
+    /// The finding behind the last verdict, for operators.
     pub(super) finding: Option<Finding>,
-    /// How it ended, where the store came back from a copy that lacks the end.
-    lost: Option<Standing>,
+    /// How the roll-out ended, if the store came back from a copy that lacks the end.
+    lost_end: Option<Standing>,
 }
 
 impl Watch {
-    /// Begins anew with what the store holds now.
-    pub(super) fn anew(entry: Entry, unproven: BTreeSet<Release>, draw: u64, now: Time) -> Self {
+    /// Starts watching the order that the store holds now.
+    pub(super) fn from_entry(
+        entry: Entry,
+        unproven: BTreeSet<Release>,
+        seed: u64,
+        now: Time,
+    ) -> Self {
         Self {
-            permits: Permits::new(draw),
+            permits: Permits::new(seed),
             since: Time(now.0.saturating_sub(entry.age.0)),
             entry,
             unproven,
@@ -87,68 +99,73 @@
         }
     }
 
-    /// Whether requests go to the new release at this time of its turn: the load there is that of the end then,
-    /// or more.
+    /// Reports whether the new release gets requests in this part of the current period. The load
+    /// during that part is at least that after the roll-out.
     pub(super) fn is_exposing(&self, now: Time) -> bool {
-        now.since(self.since).0 % TURN.0 < OPEN.0
+        now.since(self.since).0 % EXPOSURE_PERIOD.0 < EXPOSURE_OPEN.0
     }
 
     pub(super) fn order(&self) -> Option<&Order> {
         self.entry.order.as_ref()
     }
 
-    /// Whether its end is not written yet.
+    /// Reports whether the order has no recorded end yet.
     pub(super) fn is_open(&self) -> bool {
         self.order().is_some() && !self.entry.standing().is_some_and(Standing::is_end)
     }
 
-    /// How far it has come, whether or not the store still holds that.
+    /// Returns the state of the roll-out, including an end that the store has lost.
     pub(super) fn standing(&self) -> Option<Standing> {
         let written = self.entry.standing();
-        written.filter(|w| w.is_end()).or(self.lost).or(written)
+        written.filter(|w| w.is_end()).or(self.lost_end).or(written)
     }
 
-    /// Whether `told` is the order that is known, under another number of a later era of the store, or one that
-    /// was given out while lost orders are written again.
-    fn is_renumbered(&self, told: &Entry, restored: bool) -> bool {
-        let (Some(known), Some(told)) = (self.order(), &told.order) else {
+    /// Reports whether `received` is the known order under another revision: of a later era of the
+    /// store, or, while lost orders are being restored, of any later number.
+    fn is_renumbered(&self, received: &Entry, restored: bool) -> bool {
+        let (Some(known), Some(received)) = (self.order(), &received.order) else {
             return false;
         };
         let later = match restored {
-            true => known.revision < told.revision,
-            false => known.revision.era < told.revision.era,
+            true => known.revision < received.revision,
+            false => known.revision.era < received.revision.era,
         };
-        later && known.release == told.release && known.within == told.within
+        later && known.release == received.release && known.within == received.within
     }
 
-    /// Whether `told` may be an old copy of what stood before the order that is known.
-    pub(super) fn outlasts(&self, told: &Entry) -> bool {
-        let same = self.entry.order == told.order;
-        self.order().is_some() && !same && !self.is_renumbered(told, true)
+    /// Reports whether `received` may be an outdated copy from before the known order.
+    pub(super) fn may_supersede(&self, received: &Entry) -> bool {
+        let same = self.entry.order == received.order;
+        self.order().is_some() && !same && !self.is_renumbered(received, true)
     }
 
-    /// Goes on with the order under its new number.
-    fn renumber(&mut self, told: &Entry) {
-        self.lost = self.standing().filter(|standing| standing.is_end());
-        self.entry = told.clone();
-        if let Some(order) = &told.order {
+    /// Continues with the order under its new revision.
+    fn renumber(&mut self, received: &Entry) {
+        self.lost_end = self.standing().filter(|standing| standing.is_end());
+        self.entry = received.clone();
+        if let Some(order) = &received.order {
             let trials = self.trials.values_mut();
             trials.for_each(|trial| trial.order = order.revision);
         }
     }
 
-    pub(super) fn lane(&self, now: Time) -> Option<Lane> {
+    pub(super) fn traffic_mode(&self, now: Time) -> Option<TrafficMode> {
         match (self.order(), self.standing()) {
             (_, Some(Standing::Completed)) => {
-                let lately = self.lasting || self.ended.is_some_and(|at| now.since(at) < SETTLE);
-                lately.then_some(Lane::Done)
+                let keep_off_old = self.old_servers_stay
+                    || self
+                        .end_read_at
+                        .is_some_and(|at| now.since(at) < POST_ROLLOUT_PERIOD);
+                keep_off_old.then_some(TrafficMode::NewOnly)
+            }
+            (_, Some(Standing::RolledBack)) | (None, Some(Standing::Active)) => {
+                Some(TrafficMode::Blocked)
             }
-            (_, Some(Standing::RolledBack)) | (None, Some(Standing::Active)) => Some(Lane::Held),
             (None, None) => None,
-            (Some(_), _) => Some(match self.wanted {
-                Some((Standing::RolledBack, _)) => Lane::Held,
-                _ if self.moved.is_some() => Lane::Moved,
-                _ => Lane::Watched,
+            (Some(_), _) => Some(match self.desired {
+                Some((Standing::RolledBack, _)) => TrafficMode::Blocked,
+                _ if self.shifted_at.is_some() => TrafficMode::Shifted,
+                _ => TrafficMode::Trial,
             }),
         }
     }
@@ -162,19 +179,21 @@
         !self.is_new(backend) && release.is_some_and(|r| self.unproven.contains(r))
     }
 
-    /// Whether `backend` gets nothing, whatever the request.
+    /// Reports whether `backend` gets no requests at all.
     pub(super) fn bars(&self, backend: &Backend, now: Time) -> bool {
-        match self.lane(now) {
+        match self.traffic_mode(now) {
             None => false,
-            Some(Lane::Held) => self.others && (self.is_new(backend) || self.is_unproven(backend)),
-            Some(Lane::Watched) => self.is_unproven(backend),
-            Some(Lane::Moved) => self.staffed && self.is_unproven(backend),
-            Some(Lane::Done) => self.staffed && !self.is_new(backend),
+            Some(TrafficMode::Blocked) => {
+                self.has_old_servers && (self.is_new(backend) || self.is_unproven(backend))
+            }
+            Some(TrafficMode::Trial) => self.is_unproven(backend),
+            Some(TrafficMode::Shifted) => self.has_new_servers && self.is_unproven(backend),
+            Some(TrafficMode::NewOnly) => self.has_new_servers && !self.is_new(backend),
         }
     }
 
-    /// Looks which servers there are.
-    pub(super) fn survey<'a>(&mut self, servers: impl Iterator<Item = &'a Backend>) {
+    /// Updates which servers are in use.
+    pub(super) fn update_servers<'a>(&mut self, servers: impl Iterator<Item = &'a Backend>) {
         let (mut old, mut new) = (BTreeSet::new(), BTreeSet::new());
         for backend in servers {
             match self.is_new(backend) {
@@ -183,21 +202,23 @@
                 false => old.insert(backend.region.clone()),
             };
         }
-        self.others = !old.is_empty();
-        self.had_others |= self.others;
-        self.staffed = !new.is_empty();
-        self.covering = self.staffed && old.is_subset(&new);
+        self.has_old_servers = !old.is_empty();
+        self.had_old_servers |= self.has_old_servers;
+        self.has_new_servers = !new.is_empty();
+        self.covers_regions = self.has_new_servers && old.is_subset(&new);
     }
 
-    /// What this box wants written now, by `verdict`.
-    pub(super) fn want(&self, order: &Order, verdict: Verdict, now: Time) -> Standing {
+    /// Returns the state that this box wants recorded now, given `verdict`.
+    pub(super) fn desired_standing(&self, order: &Order, verdict: Verdict, now: Time) -> Standing {
         let age = now.since(self.since);
-        let overdue = age >= Millis(order.within.0.saturating_mul(PATIENCE));
-        let moved = self.moved.is_some_and(|at| now.since(at) >= MOVING);
-        if let Some(end) = self.lost {
+        let overdue = age >= Millis(order.within.0.saturating_mul(OVERDUE_FACTOR));
+        let moved = self
+            .shifted_at
+            .is_some_and(|at| now.since(at) >= MIN_SHIFT_TIME);
+        if let Some(end) = self.lost_end {
             return end;
         }
-        let due = age + part(order, FINISH) >= order.within;
+        let due = age + lead_time(order, END_LEAD) >= order.within;
         match verdict {
             _ if order.within == Millis(0) => Standing::RolledBack,
             Verdict::Bad(_) => Standing::RolledBack,
@@ -205,54 +226,56 @@
                 Standing::RolledBack
             }
             Verdict::Doubtful(_) if !verdict.is_fair() => Standing::Active,
-            _ if moved && (due || !self.had_others) && self.covering => Standing::Completed,
-            _ if overdue && self.moved.is_none() => Standing::RolledBack,
+            _ if moved && (due || !self.had_old_servers) && self.covers_regions => {
+                Standing::Completed
+            }
+            _ if overdue && self.shifted_at.is_none() => Standing::RolledBack,
             _ => Standing::Active,
         }
     }
 
-    /// Whether its traffic should move now.
+    /// Reports whether traffic should move to the new release now.
     pub(super) fn may_move(&self, order: &Order, verdict: Verdict, now: Time) -> bool {
-        // There is nothing to compare with, and nobody to go back to.
-        if !self.had_others {
-            return self.staffed;
+        // There are no old servers to compare with or to return to.
+        if !self.had_old_servers {
+            return self.has_new_servers;
         }
         let age = now.since(self.since);
-        let due = age + part(order, LEAD) >= order.within;
-        let last_call = age + part(order, FINISH) + MOVING >= order.within;
-        let good = matches!(verdict, Verdict::Good(_)) || last_call && verdict.is_fair();
-        due && self.covering && good
+        let due = age + lead_time(order, SHIFT_LEAD) >= order.within;
+        let is_final_check = age + lead_time(order, END_LEAD) + MIN_SHIFT_TIME >= order.within;
+        let good = matches!(verdict, Verdict::Good(_)) || is_final_check && verdict.is_fair();
+        due && self.covers_regions && good
     }
 }
 
-/// The time before the end of `order` at which something is due.
-fn part(order: &Order, (most, divisor): (Millis, u64)) -> Millis {
+/// Returns how long before the end of `order` an action is due.
+fn lead_time(order: &Order, (most, divisor): (Millis, u64)) -> Millis {
     most.min(Millis(order.within.0 / divisor))
 }
 
-/// Takes what is told of one service's roll-out.
-pub(super) fn take_entry(
+/// Applies the stored state of one service's roll-out.
+pub(super) fn apply_entry(
     watches: &mut BTreeMap<Service, Watch>,
     service: &Service,
-    told: &Entry,
-    draw: u64,
+    received: &Entry,
+    seed: u64,
     restored: bool,
     now: Time,
     out: &mut Vec<Effect>,
 ) {
     let watch = watches.entry(service.clone()).or_default();
     let before = watch.entry.order.as_ref().map(|order| order.revision);
-    let after = told.order.as_ref().map(|order| order.revision);
-    if watch.is_renumbered(told, restored) {
-        watch.renumber(told);
+    let after = received.order.as_ref().map(|order| order.revision);
+    if watch.is_renumbered(received, restored) {
+        watch.renumber(received);
     } else if before != after {
         let mut unproven = std::mem::take(&mut watch.unproven);
-        // What was under way is not shown to be good.
+        // An order that was still open was not shown to be good.
         let open = watch.is_open();
         unproven.extend(watch.entry.release().filter(|_| open).cloned());
-        unproven.retain(|release| Some(release) != told.release());
-        *watch = Watch::anew(told.clone(), unproven, draw, now);
-        if let Some(order) = &told.order {
+        unproven.retain(|release| Some(release) != received.release());
+        *watch = Watch::from_entry(received.clone(), unproven, seed, now);
+        if let Some(order) = &received.order {
             out.push(Effect::Rollout(Step::Ordered {
                 service: service.clone(),
                 order: order.clone(),
@@ -261,14 +284,14 @@
             out.push(Effect::Rollout(Step::Withdrawn(service.clone())));
         }
     }
-    let known = Time(now.0.saturating_sub(told.age.0));
+    let known = Time(now.0.saturating_sub(received.age.0));
     watch.since = watch.since.min(known);
     let standing = watch.entry.standing();
-    watch.entry.written.clone_from(&told.written);
+    watch.entry.written.clone_from(&received.written);
     let written = watch.entry.standing();
-    if let Some(written) = written.filter(|w| Some(*w) != standing || watch.ended.is_none()) {
+    if let Some(written) = written.filter(|w| Some(*w) != standing || watch.end_read_at.is_none()) {
         if written != Standing::Active {
-            watch.ended.get_or_insert(now);
+            watch.end_read_at.get_or_insert(now);
         }
         if Some(written) != standing {
             out.push(Effect::Rollout(Step::Written {
