--- a/src/gateway/admin.rs
+++ b/src/gateway/admin.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: status, configuration, dry runs, metrics, the planned stop.
+//! The admin API: status, configuration, routing dry runs, roll-outs, metrics and graceful
+//! shutdown.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +15,7 @@
         body::Body,
         directory::{METRICS_PATH, METRICS_TYPE},
         follow, head,
-        order::{Desk, mark, newest},
+        order::{Desk, newer_record, write_id},
         store::{Stored, Swap},
     },
     id::{self, Service},
@@ -25,46 +26,48 @@
     },
 };
 
-/// Names who changes the configuration.
+/// The header that names the author of a change.
 pub const AUTHOR: &str = "x-author";
-/// Names the version that a change is based on.
+/// The header that names the version that a change is based on.
 pub const IF_MATCH: &str = "if-match";
-/// Where orders for roll-outs are given, and taken back.
+/// The path at which roll-outs are started and stopped.
 pub const ROLLOUT_PATH: &str = "/rollout";
-/// Largest configuration, in bytes of text: the store holds values up to a megabyte.
-pub const MAX_TEXT: usize = 900 << 10;
-/// How often and how far apart an unsettled write is looked for.
-const SETTLE: (u32, Duration) = (5, Duration::from_millis(400));
+/// Largest accepted request body, and so the largest configuration text; the store holds values of
+/// at most one megabyte.
+pub const MAX_BODY_BYTES: usize = 900 << 10;
+/// The number and interval of the reads that check whether a write with unknown outcome took
+/// effect.
+const WRITE_CHECKS: (u32, Duration) = (5, Duration::from_millis(400));
 
-/// What became of a change.
+/// The outcome of a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Change {
-    /// It is accepted and will be in force everywhere within seconds.
+    /// The change is accepted and will be active on all boxes within seconds.
     Accepted {
-        /// Its number.
+        /// The version of the new configuration.
         version: Version,
     },
-    /// Somebody changed the configuration meanwhile.
+    /// The configuration was changed concurrently; nothing was written.
     Conflict {
-        /// The number that stands.
+        /// The version of the stored configuration.
         version: Version,
-        /// Who wrote it.
+        /// The author of the stored configuration.
         author: String,
     },
-    /// It does not check; nothing was written.
+    /// The configuration is invalid; nothing was written.
     Invalid {
-        /// Every fault, with section and key.
+        /// All faults, each with its section and key.
         faults: Vec<String>,
     },
-    /// The store did not say whether it was written; `config get` will tell.
+    /// The store did not confirm whether the change was written; `config get` shows the result.
     Unknown {
-        /// The mark of the write.
+        /// The unique identifier of the write.
         write: String,
     },
     /// The store could not be read; nothing was written.
     Unavailable {
-        /// Why.
+        /// The error that the store returned.
         reason: String,
     },
 }
@@ -81,27 +84,27 @@
     }
 }
 
-/// A dry run's question.
+/// The request of a routing dry run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Question {
-    /// The customer.
+    /// The customer that sends the request.
     #[serde(alias = "caller")]
     pub customer: id::Customer,
-    /// The path.
+    /// The path of the request.
     pub path: String,
-    /// The model, for a model route.
+    /// The requested model, for a model route.
     pub model: Option<Service>,
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Body> {
+fn text_response(status: StatusCode, text: &str) -> Response<Body> {
     head::whole(status, "text/plain", format!("{text}\n"))
 }
 
-/// Serves one request of an operator.
+/// Serves one request to the admin API.
 pub(crate) async fn serve(shell: Arc<Shell>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     match (&parts.method, parts.uri.path()) {
-        (&Method::GET, "/health") => return plain(StatusCode::OK, "alive"),
+        (&Method::GET, "/health") => return text_response(StatusCode::OK, "alive"),
         (&Method::GET, "/ready") => return shell.readiness().await,
         (&Method::GET, METRICS_PATH) => {
             return head::whole(StatusCode::OK, METRICS_TYPE, shell.metrics.text());
@@ -110,81 +113,82 @@
     }
     let token = head::bearer(&parts.headers);
     if !token.is_some_and(|t| shell.is_admin(t)) {
-        return plain(
+        return text_response(
             StatusCode::UNAUTHORIZED,
             "the bearer token is wrong or missing",
         );
     }
-    let body = match Limited::new(body, MAX_TEXT).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+        Err(_) => return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
     };
     match (&parts.method, parts.uri.path()) {
         (&Method::GET, "/status") => match shell.core.status().await {
             Some(status) => head::json_answer(StatusCode::OK, &status),
-            None => plain(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
+            None => text_response(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
         },
-        (&Method::GET, "/config") => read(&shell).await,
-        (&Method::PUT, "/config") => change(&shell, &parts.headers, &body).await,
+        (&Method::GET, "/config") => get_config(&shell).await,
+        (&Method::PUT, "/config") => put_config(&shell, &parts.headers, &body).await,
         (&Method::POST, "/explain") => explain(&shell, &body).await,
         (&Method::POST, ROLLOUT_PATH) => start_rollout(&shell, &parts.headers, &body).await,
         (&Method::DELETE, ROLLOUT_PATH) => stop_rollout(&shell, &parts.headers, &body).await,
         (&Method::POST, "/pardon") => pardon(&shell, &body),
         (&Method::POST, "/drain") => {
             shell.stop();
-            plain(
+            text_response(
                 StatusCode::ACCEPTED,
                 "the box finishes what is in flight and stops",
             )
         }
-        _ => plain(StatusCode::NOT_FOUND, "no such page"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such page"),
     }
 }
 
-/// Gives an order for a roll-out.
+/// Starts a roll-out.
 async fn start_rollout(shell: &Shell, headers: &HeaderMap, body: &[u8]) -> Response<Body> {
     let ask: order::Ask = match serde_json::from_slice(body) {
         Ok(ask) => ask,
-        Err(error) => return plain(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    let Some(author) = text(headers, AUTHOR) else {
-        return plain(StatusCode::BAD_REQUEST, "an order needs X-Author");
+    let Some(author) = header_text(headers, AUTHOR) else {
+        return text_response(StatusCode::BAD_REQUEST, "an order needs X-Author");
     };
     let outcome = Desk::of(shell).start(author, &ask).await;
     head::json_answer(outcome.status(), &outcome)
 }
 
-/// Takes an order for a roll-out back; the body names the service.
+/// Stops a roll-out; the body names the service.
 async fn stop_rollout(shell: &Shell, headers: &HeaderMap, body: &[u8]) -> Response<Body> {
     let service: Service = match str::from_utf8(body).unwrap_or_default().trim().parse() {
         Ok(service) => service,
-        Err(error) => return plain(StatusCode::BAD_REQUEST, &format!("service: {error}")),
+        Err(error) => return text_response(StatusCode::BAD_REQUEST, &format!("service: {error}")),
     };
-    let Some(author) = text(headers, AUTHOR) else {
-        return plain(StatusCode::BAD_REQUEST, "an order needs X-Author");
+    let Some(author) = header_text(headers, AUTHOR) else {
+        return text_response(StatusCode::BAD_REQUEST, "an order needs X-Author");
     };
     let outcome = Desk::of(shell).stop(author, &service).await;
     head::json_answer(outcome.status(), &outcome)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Lets a content run again, here and at every box that hears of it.
+/// Releases a quarantined content on this box and on all boxes that receive the update.
 fn pardon(shell: &Shell, body: &[u8]) -> Response<Body> {
-    let text = str::from_utf8(body).unwrap_or_default();
-    match text.trim().parse() {
+    let content = str::from_utf8(body).unwrap_or_default();
+    match content.trim().parse() {
         Ok(content) => {
             shell.core.tell(Event::Pardoned(content));
-            plain(StatusCode::ACCEPTED, "it may run again")
+            text_response(StatusCode::ACCEPTED, "it may run again")
         }
-        Err(error) => plain(StatusCode::UNPROCESSABLE_ENTITY, error),
+        Err(error) => text_response(StatusCode::UNPROCESSABLE_ENTITY, error),
     }
 }
 
-/// The configuration in the store, or the one in force where the store does not answer.
-async fn read(shell: &Shell) -> Response<Body> {
+/// Returns the configuration in the store, or the active one if the store holds none or does not
+/// answer.
+async fn get_config(shell: &Shell) -> Response<Body> {
     let current = shell.current.borrow().clone();
     match (shell.store.read().await, current) {
         (
@@ -194,9 +198,9 @@
             }),
             _,
         ) => head::json_answer(StatusCode::OK, &record),
-        (Ok(_), None) => plain(StatusCode::NOT_FOUND, "there is no configuration yet"),
+        (Ok(_), None) => text_response(StatusCode::NOT_FOUND, "there is no configuration yet"),
         (Ok(_) | Err(_), Some(current)) => head::json_answer(StatusCode::OK, &*current.record),
-        (Err(error), None) => plain(
+        (Err(error), None) => text_response(
             StatusCode::SERVICE_UNAVAILABLE,
             &format!("the store does not answer: {error:#}"),
         ),
@@ -206,7 +210,7 @@
 async fn explain(shell: &Shell, body: &[u8]) -> Response<Body> {
     let question: Question = match serde_json::from_slice(body) {
         Ok(question) => question,
-        Err(error) => return plain(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let ask = Ask {
         host: None,
@@ -217,30 +221,31 @@
     };
     match shell.core.explain(ask, 0).await {
         Some(Ok(explanation)) => head::json_answer(StatusCode::OK, &explanation),
-        Some(Err(reason)) => plain(StatusCode::NOT_FOUND, &reason),
-        None => plain(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
+        Some(Err(reason)) => text_response(StatusCode::NOT_FOUND, &reason),
+        None => text_response(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
     }
 }
 
-async fn change(shell: &Shell, headers: &HeaderMap, body: &[u8]) -> Response<Body> {
-    let base: Option<Version> = text(headers, IF_MATCH).and_then(|v| v.parse().ok());
-    let (Some(base), Some(author)) = (base, text(headers, AUTHOR)) else {
-        let need = "a change needs If-Match (the version it is based on) and X-Author";
-        return plain(StatusCode::BAD_REQUEST, need);
+async fn put_config(shell: &Shell, headers: &HeaderMap, body: &[u8]) -> Response<Body> {
+    let base: Option<Version> = header_text(headers, IF_MATCH).and_then(|v| v.parse().ok());
+    let (Some(base), Some(author)) = (base, header_text(headers, AUTHOR)) else {
+        let message = "a change needs If-Match (the version it is based on) and X-Author";
+        return text_response(StatusCode::BAD_REQUEST, message);
     };
     let Ok(config) = str::from_utf8(body) else {
-        return plain(StatusCode::BAD_REQUEST, "the configuration is not UTF-8");
+        return text_response(StatusCode::BAD_REQUEST, "the configuration is not UTF-8");
     };
-    let change = put(shell, base, author, config).await;
-    log::info!("admin: change by {author:?} on {base}: {change:?}.");
+    let change = write_config(shell, base, author, config).await;
+    log::info!("admin: configuration change by {author:?} based on {base}: {change:?}.");
     head::json_answer(change.status(), &change)
 }
 
-/// Writes a configuration that is based on `base`, by compare-and-swap; the roll-outs stay as they are.
-async fn put(shell: &Shell, base: Version, author: &str, text: &str) -> Change {
+/// Writes a configuration that is based on `base` by compare-and-swap; roll-outs are carried over
+/// unchanged.
+async fn write_config(shell: &Shell, base: Version, author: &str, text: &str) -> Change {
     let mut envelope = Envelope {
         version: Version(0),
-        write: mark(),
+        write: write_id(),
         author: author.to_owned(),
         text: text.to_owned(),
     };
@@ -256,13 +261,13 @@
         }
     };
     let in_force = shell.current.borrow().clone().map(|c| c.record);
-    let newest = newest(stored.record.as_ref(), in_force.as_deref());
-    let known = newest.map_or(base == Version(0), |record| record.is_known(base));
-    if !known {
+    let newest = newer_record(stored.record.as_ref(), in_force.as_deref());
+    let base_is_current = newest.map_or(base == Version(0), |record| record.is_known(base));
+    if !base_is_current {
         return conflict(newest);
     }
-    let standing = newest.map_or(Version(0), |record| record.envelope.version);
-    envelope.version = Version(standing.0 + 1);
+    let latest_version = newest.map_or(Version(0), |record| record.envelope.version);
+    envelope.version = Version(latest_version.0 + 1);
     let rollouts = newest.map(|record| record.rollouts.clone());
     let record = Record {
         rollouts: rollouts.unwrap_or_default(),
@@ -275,13 +280,13 @@
             Err(_) => conflict(newest),
         },
         Err(error) => {
-            log::warn!("admin: a write's reply was lost: {error:#}.");
-            settle(shell, stored, record).await
+            log::warn!("admin: the store did not confirm a write: {error:#}.");
+            confirm_write(shell, stored, record).await
         }
     }
 }
 
-/// The box that made a change has it at once.
+/// Offers the written configuration to this box at once, without waiting for the store watch.
 fn accepted(shell: &Shell, record: Record) -> Change {
     let version = record.envelope.version;
     follow::offer(&shell.core, &shell.settings, record, Source::Store);
@@ -296,26 +301,28 @@
     }
 }
 
-/// Reads until the fate of a write shows; `before` is what stood before it.
-async fn settle(shell: &Shell, before: Stored, record: Record) -> Change {
-    let (tries, pause) = SETTLE;
-    for _ in 0..tries {
-        sleep(pause).await;
-        let Ok(now) = shell.store.read().await else {
+/// Reads the store until the outcome of an unconfirmed write is known; `before` is the record read
+/// before the write.
+async fn confirm_write(shell: &Shell, before: Stored, record: Record) -> Change {
+    let (checks, interval) = WRITE_CHECKS;
+    for _ in 0..checks {
+        sleep(interval).await;
+        let Ok(after) = shell.store.read().await else {
             continue;
         };
-        let Some(found) = &now.record else {
+        let Some(found) = &after.record else {
             continue;
         };
         if found.envelope.write == record.envelope.write {
             return accepted(shell, record);
         }
         if found.envelope.version == record.envelope.version {
-            // Another write took this number, so this one lost and cannot take effect any more.
+            // Another write took this version, so this write has lost and can no longer take
+            // effect.
             return conflict(Some(found));
         }
-        if now.revision != before.revision {
-            // A later change stands; whether it followed this one cannot be seen.
+        if after.revision != before.revision {
+            // The store holds a later change; it is not known whether that was based on this write.
             break;
         }
     }
--- a/src/gateway/ask.rs
+++ b/src/gateway/ask.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which boxes to use.
+//! Serves the list of boxes that a caller may send requests to.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
     unit::Millis,
 };
 
-/// How long the boxes of an "ask" may be used.
-const ASK_LIFE: Millis = Millis(10_000);
+/// How long callers may use the listed boxes.
+const BOX_LIST_TTL: Millis = Millis(10_000);
 
-/// Answers one question of a caller.
+/// Returns the boxes that the holder of `credential` may use.
 pub(crate) async fn answer(
     shell: &Arc<Shell>,
     credential: Credential,
@@ -54,6 +54,6 @@
             })
         })
         .collect();
-    let content = serde_json::json!({ "boxes": rows, "use_for_ms": ASK_LIFE });
+    let content = serde_json::json!({ "boxes": rows, "use_for_ms": BOX_LIST_TTL });
     head::json_answer(StatusCode::OK, &content)
 }
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -1,9 +1,9 @@
-//! The box's monotonic clock, which goes on while its machine is suspended.
+//! The box's monotonic clock, which keeps counting while the machine is suspended.
 //!
-//! The steady clock of the standard library stands still then, and so does the runtime's, whose timers are
-//! late by that time. What a box believes grows old all the same: leases, the others' heartbeats, load,
-//! allotments, idle connections. So every age is counted by [`Moment`], and the runtime's clock only says
-//! when a task is woken.
+//! `std::time::Instant` and the clock of the runtime stop during a suspension, and timers of the
+//! runtime fire late by that time. Leases, heartbeats, load figures, allotments and idle
+//! connections age all the same, so every age is measured with [`Moment`]; the clock of the runtime
+//! only wakes tasks.
 
 use std::{
     ops::{Add, Sub},
@@ -14,24 +14,26 @@
 
 use crate::{id::Incarnation, unit::Time};
 
-/// A moment, as the time since the machine started, suspended or not.
+/// A point in time, stored as the time since the machine booted, including suspensions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// The moment it is.
+    /// Returns the current time.
     pub fn now() -> Self {
-        let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        // Every kernel that a box may run on has this clock.
-        Self(Duration::from(read.expect("the clock since boot reads")))
+        let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME);
+        // Every kernel that a box may run on supports `CLOCK_BOOTTIME`.
+        Self(Duration::from(
+            since_boot.expect("CLOCK_BOOTTIME is readable"),
+        ))
     }
 
-    /// The time that has passed since.
+    /// Returns the time that has passed since this moment.
     pub fn elapsed(self) -> Duration {
         Self::now() - self
     }
 
-    /// The time from the machine's start to this moment.
+    /// Returns the time from the boot of the machine to this moment.
     pub fn since_boot(self) -> Duration {
         self.0
     }
@@ -51,29 +53,29 @@
     }
 }
 
-/// Counts milliseconds since the process started.
+/// A clock that counts the milliseconds since it was started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Moment,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at 0 now.
     pub fn start() -> Self {
         Self {
             start: Moment::now(),
         }
     }
 
-    /// The moment it is.
+    /// Returns the time since the clock was started.
     pub fn now(&self) -> Time {
         Time(self.start.elapsed().as_millis() as u64)
     }
 }
 
-/// A number for this life of the box.
+/// Creates the incarnation of this process: the wall-clock time and a random number.
 pub(crate) fn incarnation() -> Incarnation {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
-    let wall_ms = wall.map_or(0, |d| d.as_millis() as u64);
+    let wall_ms = wall.map_or(0, |since_epoch| since_epoch.as_millis() as u64);
     Incarnation::new(wall_ms, rand::random())
 }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -1,4 +1,5 @@
-//! The actor that owns the reducer: events go in, and its effects are carried out from here.
+//! The actor that owns the reducer: it passes events to the reducer and applies the effects that
+//! the reducer returns.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -23,10 +24,10 @@
         lines::Quota,
         metrics::Metrics,
         order,
-        repeats::Repeats,
+        repeats::RepeatReport,
         replay::Replay,
         store::Store,
-        worst::{Ended, Guest},
+        worst::{CustomerOutcomes, CustomerRequest},
     },
     id, policy,
     reducer::{
@@ -40,39 +41,40 @@
     wire::Phase,
 };
 
-/// What a request's task is told by the reducer.
+/// A command from the reducer to the task of a request.
 #[derive(Debug)]
 pub(crate) enum Order {
-    /// Try the request.
+    /// Start an attempt.
     Send(Box<SendOrder>),
-    /// Give the attempt up.
+    /// Abort the current attempt.
     Abort,
-    /// Let the stream leave its place; where it goes on comes next.
+    /// Detach the response stream from its current target; the next command names the new one.
     Leave,
-    /// The run is to be stopped: the stream may end before the rest of it comes elsewhere.
+    /// The run is about to be stopped at its engine: the stream may end early, and its remainder
+    /// then comes from another engine.
     Stopping,
-    /// The stream whose connection closed had come to its end.
+    /// The stream whose connection closed was complete.
     Close,
-    /// Answer with this.
+    /// Respond with the given reply.
     Reply(Reply),
-    /// Answer with the kept answer of another request.
+    /// Respond with the stored response of another request.
     Replay(id::Request),
-    /// Answer with these boxes.
+    /// Respond with a list of boxes.
     Boxes(Vec<Entry>),
 }
 
-/// The configuration in force, as others fetch it.
+/// The active configuration, in the forms needed to use it and to pass it on.
 #[derive(Clone, Debug)]
 pub struct Current {
-    /// As it was accepted.
+    /// The record as it was accepted.
     pub record: Arc<Record>,
-    /// Checked.
+    /// The validated configuration.
     pub config: Arc<Config>,
-    /// As it goes to other boxes.
+    /// The encoded form that other boxes fetch.
     pub packed: Bytes,
 }
 
-/// What the actor needs besides the reducer.
+/// The dependencies of the actor other than the reducer.
 pub(crate) struct Parts {
     pub(crate) clock: Clock,
     pub(crate) links: Links,
@@ -81,50 +83,51 @@
     pub(crate) replay: Arc<Replay>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) store: Store,
-    pub(crate) duty: watch::Sender<bool>,
-    /// Boxes of the fleet.
+    /// Whether this box watches the store.
+    pub(crate) watch_store: watch::Sender<bool>,
+    /// The number of boxes in the fleet.
     pub(crate) boxes: watch::Sender<usize>,
-    /// How the platform's store is followed.
+    /// The mode in which the platform's store is followed.
     pub(crate) follow: watch::Sender<Follow>,
     pub(crate) current: watch::Sender<Option<Current>>,
     pub(crate) identity: Identity,
     pub(crate) policy: policy::Named,
 }
 
-/// The actor.
+/// The actor that owns the reducer.
 #[derive(Actor)]
 pub(crate) struct Core {
     pub(super) state: State<policy::Named>,
     pub(super) parts: Parts,
-    pub(super) orders: HashMap<id::Request, Open>,
+    pub(super) orders: HashMap<id::Request, OpenRequest>,
     pub(super) quota: Quota,
-    /// The tasks that hear engines.
+    /// The tasks that follow the cache contents of engines.
     pub(super) followers: Followers,
     offered: Option<Current>,
-    /// How customers' requests ended here.
-    pub(super) ended: Ended,
-    /// When the metrics were last told of allotments.
-    pub(super) allotments_told: Time,
-    /// How often attempts beyond the first were asked for when that was last told.
-    pub(super) repeats: Repeats,
-    /// When the log was last told of the bytes between boxes.
-    pub(super) traffic_told: Time,
+    /// Outcomes of customers' requests on this box.
+    pub(super) customer_outcomes: CustomerOutcomes,
+    /// When the allotment metrics were last updated.
+    pub(super) allotments_updated_at: Time,
+    /// The retry counts that were logged last.
+    pub(super) repeats: RepeatReport,
+    /// When the traffic between boxes was last logged.
+    pub(super) traffic_logged_at: Time,
     pub(super) handle: Option<Handle>,
 }
 
-/// A request in hand, as its task and the log know it.
-pub(super) struct Open {
-    orders: mpsc::UnboundedSender<Order>,
-    /// The caller's own name for it.
+/// A request in flight: the channel to its task, and what logs and statistics need of it.
+pub(super) struct OpenRequest {
+    sender: mpsc::UnboundedSender<Order>,
+    /// The request ID that the caller supplied.
     pub(super) tag: Option<String>,
-    /// Whose it is, where its caller sent it here.
-    pub(super) guest: Option<Guest>,
+    /// The customer and the time limit; `None` for requests that came through another box.
+    pub(super) customer_request: Option<CustomerRequest>,
 }
 
-/// An event, with the way back for a request that it opens.
+/// An event for the reducer, with the command channel if the event opens a request.
 struct Input {
     event: Event,
-    orders: Option<mpsc::UnboundedSender<Order>>,
+    sender: Option<mpsc::UnboundedSender<Order>>,
 }
 
 struct Offer {
@@ -157,14 +160,14 @@
 #[derive(ActorReply)]
 struct ExplainAnswer(Result<Explanation, String>);
 
-struct Introduce(Handle);
+struct SetHandle(Handle);
 
-/// A way to the actor; cheap to clone.
+/// A handle to the actor; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Handle(pub(super) ActorRef<Core>);
 
 impl Handle {
-    /// Starts the actor.
+    /// Starts the actor and returns its handle.
     pub(crate) async fn start(parts: Parts) -> Self {
         let core = Core {
             state: State::new(parts.identity.clone(), parts.policy),
@@ -173,76 +176,76 @@
             quota: Quota::default(),
             followers: Followers::new(),
             offered: None,
-            ended: Ended::default(),
-            allotments_told: Time(0),
-            repeats: Repeats::default(),
-            traffic_told: Time(0),
+            customer_outcomes: CustomerOutcomes::default(),
+            allotments_updated_at: Time(0),
+            repeats: RepeatReport::default(),
+            traffic_logged_at: Time(0),
             handle: None,
         };
         let handle = Self(Core::spawn_with_mailbox(core, mailbox::unbounded()));
-        handle.push(Introduce(handle.clone()));
+        handle.enqueue(SetHandle(handle.clone()));
         handle
     }
 
-    fn push<M: Send + 'static>(&self, message: M)
+    fn enqueue<M: Send + 'static>(&self, message: M)
     where
         Core: Message<M>,
     {
-        // The actor lives as long as the process; a failure means that the process ends.
+        // The actor lives as long as the process, so sending fails only while the process exits.
         if self.0.tell(message).try_send().is_err() {
-            log::trace!("core: gone");
+            log::trace!("core: actor has stopped");
         }
     }
 
-    /// Tells of an event.
+    /// Sends an event to the reducer.
     pub(crate) fn tell(&self, event: Event) {
-        self.push(Input {
+        self.enqueue(Input {
             event,
-            orders: None,
+            sender: None,
         });
     }
 
-    /// Tells of an event that opens a request, whose orders come back.
+    /// Sends an event that opens a request, and returns the channel for the request's commands.
     pub(crate) fn open(&self, event: Event) -> mpsc::UnboundedReceiver<Order> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.push(Input {
+        self.enqueue(Input {
             event,
-            orders: Some(sender),
+            sender: Some(sender),
         });
         receiver
     }
 
-    /// Brings a checked configuration.
+    /// Offers a validated configuration to the reducer.
     pub(crate) fn offer(&self, current: Current, source: Source) {
-        self.push(Offer { current, source });
+        self.enqueue(Offer { current, source });
     }
 
-    /// Tells of a configuration that does not check.
+    /// Reports a configuration that failed validation.
     pub(crate) fn unreadable(&self, version: Version) {
         self.tell(Event::Unreadable(version));
     }
 
-    /// Waits until the actor has stopped, which it does only when the reducer broke.
+    /// Waits until the actor has stopped, which happens only when the reducer has failed.
     pub(crate) async fn stopped(&self) {
         self.0.wait_for_shutdown().await;
     }
 
-    /// Whether this box takes work.
+    /// Returns whether this box is unready, ready or leaving.
     pub(crate) async fn phase(&self) -> Option<Phase> {
         self.0.ask(PhaseQuery).await.ok().map(|answer| answer.0)
     }
 
-    /// This box's view.
+    /// Returns the status of this box and its view of the system.
     pub(crate) async fn status(&self) -> Option<Status> {
         self.0.ask(StatusQuery).await.ok().map(|answer| answer.0)
     }
 
-    /// What this box knows of registered backend servers, or what changed after `since`.
+    /// Returns the registered backend servers that this box knows, or the changes after `since`.
     pub(crate) async fn roster(&self, since: Option<Revision>) -> Option<Roster> {
         self.0.ask(RosterQuery { since }).await.ok()?.0
     }
 
-    /// Where a request would go.
+    /// Reports where a request would be routed, without sending it.
     pub(crate) async fn explain(
         &self,
         ask: Ask,
@@ -253,9 +256,9 @@
     }
 }
 
-impl Message<Introduce> for Core {
+impl Message<SetHandle> for Core {
     type Reply = ();
-    async fn handle(&mut self, message: Introduce, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: SetHandle, _: &mut Context<Self, ()>) {
         self.handle = Some(message.0);
     }
 }
@@ -268,22 +271,29 @@
             Event::Asked { request, .. } | Event::Resolve { request, .. } => Some(*request),
             _ => None,
         };
-        if let Some((request, orders)) = opened.zip(input.orders) {
-            let (tag, guest) = match &input.event {
-                Event::Arrived(arrival) => (arrival.tag.clone(), self.guest(arrival)),
+        if let Some((request, sender)) = opened.zip(input.sender) {
+            let (tag, customer_request) = match &input.event {
+                Event::Arrived(arrival) => (arrival.tag.clone(), self.customer_request(arrival)),
                 _ => (None, None),
             };
-            self.orders.insert(request, Open { orders, tag, guest });
+            self.orders.insert(
+                request,
+                OpenRequest {
+                    sender,
+                    tag,
+                    customer_request,
+                },
+            );
         }
         let closed = match &input.event {
             Event::Gone(request) | Event::Ended { request, .. } => Some(*request),
             _ => None,
         };
-        let ending = self.ending(&input.event);
+        let customer_outcome = self.customer_outcome(&input.event);
         self.step(input.event);
         if let Some(request) = closed.filter(|r| !self.state.holds(*r)) {
-            if let Some((_, outcome)) = ending {
-                self.count_ending(request, outcome);
+            if let Some((_, outcome)) = customer_outcome {
+                self.count_outcome(request, outcome);
             }
             self.orders.remove(&request);
         }
@@ -303,7 +313,7 @@
         });
         self.offered = None;
         if self.parts.settings.interface == Interface::Own && before < Some(self.state.version()) {
-            self.step(order::ordered(&record));
+            self.step(order::rollouts_event(&record));
         }
     }
 }
@@ -320,7 +330,7 @@
     async fn handle(&mut self, _: StatusQuery, _: &mut Context<Self, Self::Reply>) -> StatusAnswer {
         let now = self.parts.clock.now();
         StatusAnswer(Status {
-            worst: self.ended.service.worst(now),
+            worst: self.customer_outcomes.service.worst(now),
             ..self.state.status(now)
         })
     }
@@ -352,34 +362,34 @@
 impl Core {
     fn step(&mut self, event: Event) {
         self.log_event(&event);
-        self.measure_event(&event);
-        let ticked = matches!(event, Event::Tick);
+        self.record_event_metrics(&event);
+        let is_tick = matches!(event, Event::Tick);
         let effects = self.state.step(self.parts.clock.now(), event);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
-        if ticked {
-            self.gauge();
-            self.tell_worst();
-            self.tell_repeats();
+        if is_tick {
+            self.update_gauges();
+            self.report_worst_customers();
+            self.report_repeats();
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         self.log_effect(&effect);
-        self.measure_effect(&effect);
+        self.record_effect_metrics(&effect);
         match effect {
-            Effect::Send(send) => self.order(send.request, Order::Send(Box::new(send))),
-            Effect::Abort { request, .. } => self.order(request, Order::Abort),
-            Effect::Leave { request, .. } => self.order(request, Order::Leave),
+            Effect::Send(send) => self.send_order(send.request, Order::Send(Box::new(send))),
+            Effect::Abort { request, .. } => self.send_order(request, Order::Abort),
+            Effect::Leave { request, .. } => self.send_order(request, Order::Leave),
             Effect::Move(order) => {
                 if order.last {
-                    self.order(order.request, Order::Stopping);
+                    self.send_order(order.request, Order::Stopping);
                 }
                 self.move_run(order);
             }
             Effect::Free(origin) => self.free_copy(origin),
-            Effect::Close { request, .. } => self.order(request, Order::Close),
+            Effect::Close { request, .. } => self.send_order(request, Order::Close),
             Effect::Carried(_) => {}
             Effect::Knock { backend, address } => self.knock(backend, address),
             Effect::Keep(held) => self.keep(Write::Keep(held)),
@@ -395,10 +405,14 @@
             Effect::CloseIdle(address) => self.parts.pool.close_idle(address),
             Effect::Reply { request, reply } => {
                 self.count_reply(request, &reply);
-                self.last_order(request, Order::Reply(reply));
+                self.send_final_order(request, Order::Reply(reply));
+            }
+            Effect::Replay { request, answer } => {
+                self.send_final_order(request, Order::Replay(answer))
+            }
+            Effect::Boxes { request, boxes, .. } => {
+                self.send_final_order(request, Order::Boxes(boxes))
             }
-            Effect::Replay { request, answer } => self.last_order(request, Order::Replay(answer)),
-            Effect::Boxes { request, boxes, .. } => self.last_order(request, Order::Boxes(boxes)),
             Effect::Queued { .. } | Effect::Broken { .. } | Effect::Repeat(_) => {}
             Effect::Forget(answer) => self.parts.replay.forget(answer),
             Effect::Gossip { to, frame } => self.parts.links.send(to, &frame),
@@ -420,7 +434,7 @@
                     "core: {} the store.",
                     if on { "watching" } else { "not watching" }
                 );
-                self.parts.duty.send_replace(on);
+                self.parts.watch_store.send_replace(on);
             }
             Effect::Adopted(version) => {
                 log::info!("core: configuration {version} is in force.");
@@ -435,15 +449,16 @@
         }
     }
 
-    fn order(&mut self, request: id::Request, order: Order) {
+    fn send_order(&mut self, request: id::Request, order: Order) {
         if let Some(open) = self.orders.get(&request) {
-            // A closed channel means that the request's task ended; its drop tells the reducer.
-            let _ = open.orders.send(order);
+            // A closed channel means that the request's task has ended; its drop handler notifies
+            // the reducer.
+            let _ = open.sender.send(order);
         }
     }
 
-    fn last_order(&mut self, request: id::Request, order: Order) {
-        self.order(request, order);
+    fn send_final_order(&mut self, request: id::Request, order: Order) {
+        self.send_order(request, order);
         self.orders.remove(&request);
     }
 }
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,5 +1,5 @@
-//! The platform's readiness checks, callers' look-ups of boxes, and collectors of metrics, each by a
-//! listener of its own.
+//! The optional listeners for the platform's readiness checks, for callers that look up boxes, and
+//! for metrics collectors.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,15 +14,16 @@
     unit::Millis,
 };
 
-/// How long callers may use the boxes of a look-up: long enough to spare look-ups, and short enough
-/// that callers leave a box that stops well before its end.
-const LIFE: Millis = Millis(3000);
+/// How long callers may use the boxes of a look-up: long enough to keep look-ups rare, and short
+/// enough that callers move off a stopping box well before it exits.
+const LOOKUP_TTL: Millis = Millis(3000);
 
-/// Where a collector reads the metrics, and their content type.
+/// The path of the metrics.
 pub(super) const METRICS_PATH: &str = "/metrics";
+/// The content type of the metrics: the Prometheus text format.
 pub(super) const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// The listeners that the settings ask for.
+/// The optional listeners that the settings enable.
 pub(super) struct Listeners {
     ready: Option<TcpListener>,
     directory: Option<TcpListener>,
@@ -30,23 +31,23 @@
 }
 
 impl Listeners {
-    /// Where readiness checks go.
+    /// Returns the address for readiness checks.
     pub(super) fn ready_address(&self) -> Option<SocketAddr> {
         self.ready.as_ref()?.local_addr().ok()
     }
 
-    /// Where look-ups go.
+    /// Returns the address for look-ups of boxes.
     pub(super) fn directory_address(&self) -> Option<SocketAddr> {
         self.directory.as_ref()?.local_addr().ok()
     }
 
-    /// Where collectors of metrics go.
+    /// Returns the address for metrics collectors.
     pub(super) fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics.as_ref()?.local_addr().ok()
     }
 }
 
-/// Binds them.
+/// Binds the listeners that the settings enable.
 pub(super) async fn bind(settings: &Settings) -> eyre::Result<Listeners> {
     let ready = match settings.ready {
         Some(address) => Some(serve::bind(address, "readiness checks").await?),
@@ -67,7 +68,7 @@
     })
 }
 
-/// Serves them until `closing`.
+/// Serves the listeners until `closing` is set.
 pub(super) fn serve(
     shell: &Arc<Shell>,
     listeners: Listeners,
@@ -120,6 +121,6 @@
     head::whole(
         StatusCode::OK,
         "application/json",
-        door::answer(addresses, LIFE),
+        door::answer(addresses, LOOKUP_TTL),
     )
 }
--- a/src/gateway/lines.rs
+++ b/src/gateway/lines.rs
@@ -1,5 +1,5 @@
-//! The log's way out of the process: lines are gathered in memory and written by a thread of their
-//! own, so that no request ever waits for whoever reads them.
+//! A non-blocking log writer. Lines are buffered in memory and written by a dedicated thread, so
+//! that a slow reader of the log never blocks a request.
 
 use std::{
     io::{self, Write},
@@ -10,20 +10,19 @@
 
 use crate::unit::{Millis, Time};
 
-/// Most bytes that wait to be written; later lines are dropped and counted.
-const MAX_WAITING: usize = 512 << 10;
-/// How long lines are gathered before they are written together.
-const GATHER: Duration = Duration::from_millis(100);
-/// Request lines a second that a box may write for long: three lines for each of the requests that
-/// it is built for.
+/// Size limit of the buffer; lines that exceed it are dropped and counted.
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
+/// How long lines are buffered before they are written in one batch.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Sustained rate of request lines: three lines for each request at the design load of a box.
 const LINES_PER_SECOND: f64 = 400.0;
-/// How often dropped request lines are told of.
-const TELL: Millis = Millis(1000);
-/// Request lines that it may write at once.
-const BURST: f64 = 800.0;
+/// Minimum interval between two warnings about dropped request lines.
+const DROP_WARNING_INTERVAL: Millis = Millis(1000);
+/// Request lines that may be written in one burst.
+const MAX_BURST_LINES: f64 = 800.0;
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     dropped: u64,
     writing: bool,
@@ -31,18 +30,18 @@
 
 #[derive(Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
-    news: Condvar,
+    buffer: Mutex<Buffer>,
+    data_available: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        // Plain bytes stay whole whatever a panicking writer did.
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        // The buffer holds plain bytes, which stay valid if a writer panicked with the lock.
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A writer that never blocks.
+/// A log writer that does not block on the output.
 #[derive(Clone, Default)]
 pub struct Lines(Arc<Shared>);
 
@@ -56,28 +55,28 @@
         Ok(lines)
     }
 
-    /// Waits, for a little while, until all lines are written.
+    /// Waits until all lines are written, for at most 200 ms (20 polls).
     pub fn flush_all(&self) {
         for _ in 0..20 {
-            let waiting = self.0.lock();
-            if waiting.bytes.is_empty() && !waiting.writing {
+            let buffer = self.0.lock();
+            if buffer.bytes.is_empty() && !buffer.writing {
                 return;
             }
-            drop(waiting);
-            thread::sleep(GATHER / 10);
+            drop(buffer);
+            thread::sleep(BATCH_DELAY / 10);
         }
     }
 }
 
 impl Write for Lines {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.0.lock();
-        if waiting.bytes.len() + bytes.len() > MAX_WAITING {
-            waiting.dropped += 1;
+        let mut buffer = self.0.lock();
+        if buffer.bytes.len() + bytes.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
         } else {
-            waiting.bytes.extend_from_slice(bytes);
-            if !waiting.writing {
-                self.0.news.notify_one();
+            buffer.bytes.extend_from_slice(bytes);
+            if !buffer.writing {
+                self.0.data_available.notify_one();
             }
         }
         Ok(bytes.len())
@@ -89,66 +88,68 @@
 }
 
 fn write_out(shared: &Shared, mut out: impl Write) {
-    let mut waiting = shared.lock();
+    let mut buffer = shared.lock();
     loop {
-        while waiting.bytes.is_empty() {
-            waiting.writing = false;
-            let woken = shared.news.wait(waiting);
-            waiting = woken.unwrap_or_else(PoisonError::into_inner);
+        while buffer.bytes.is_empty() {
+            buffer.writing = false;
+            let result = shared.data_available.wait(buffer);
+            buffer = result.unwrap_or_else(PoisonError::into_inner);
         }
-        waiting.writing = true;
-        drop(waiting);
-        thread::sleep(GATHER);
-        waiting = shared.lock();
-        let bytes = std::mem::take(&mut waiting.bytes);
-        let dropped = std::mem::take(&mut waiting.dropped);
-        drop(waiting);
-        // There is nowhere left to tell of a failure to write the log.
+        buffer.writing = true;
+        drop(buffer);
+        thread::sleep(BATCH_DELAY);
+        buffer = shared.lock();
+        let bytes = std::mem::take(&mut buffer.bytes);
+        let dropped = std::mem::take(&mut buffer.dropped);
+        drop(buffer);
+        // Errors are ignored: there is no other place to report that the log cannot be written.
         let _ = out.write_all(&bytes);
         if dropped > 0 {
             let _ = writeln!(out, "[WARN] log: dropped={dropped} reason=slow-reader");
         }
         let _ = out.flush();
-        waiting = shared.lock();
+        buffer = shared.lock();
     }
 }
 
-/// Bounds the lines that tell of single requests.
+/// A token bucket that limits the log lines about single requests.
 #[derive(Debug)]
 pub(crate) struct Quota {
-    saved: f64,
-    at: Time,
+    tokens: f64,
+    refilled_at: Time,
     dropped: u64,
-    /// When the dropped lines were last told of.
-    told: Time,
+    /// When the last warning about dropped lines was logged.
+    warned_at: Time,
 }
 
 impl Default for Quota {
     fn default() -> Self {
         Self {
-            saved: BURST,
-            at: Time(0),
+            tokens: MAX_BURST_LINES,
+            refilled_at: Time(0),
             dropped: 0,
-            told: Time(0),
+            warned_at: Time(0),
         }
     }
 }
 
 impl Quota {
-    /// Whether one more line may be written at `now`.
+    /// Takes one token and returns true if another line may be written at `now`; otherwise counts
+    /// the line as dropped.
     pub(crate) fn take(&mut self, now: Time) -> bool {
-        let Millis(passed) = now.since(self.at);
-        self.at = now;
-        self.saved = (self.saved + passed as f64 * LINES_PER_SECOND / 1000.0).min(BURST);
-        if self.saved < 1.0 {
+        let Millis(elapsed_ms) = now.since(self.refilled_at);
+        self.refilled_at = now;
+        self.tokens =
+            (self.tokens + elapsed_ms as f64 * LINES_PER_SECOND / 1000.0).min(MAX_BURST_LINES);
+        if self.tokens < 1.0 {
             self.dropped += 1;
             return false;
         }
-        self.saved -= 1.0;
-        if self.dropped > 0 && now.since(self.told) >= TELL {
+        self.tokens -= 1.0;
+        if self.dropped > 0 && now.since(self.warned_at) >= DROP_WARNING_INTERVAL {
             log::warn!("log: dropped={} reason=too-many-requests", self.dropped);
             self.dropped = 0;
-            self.told = now;
+            self.warned_at = now;
         }
         true
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,21 +1,21 @@
-//! The long-running process on a box: sockets, clocks and tasks around the reducer.
+//! The gateway process on a box: the sockets, clocks and tasks around the reducer.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! |---|---|
-//! | `shell` | what all tasks of one box share |
-//! | `core` | the actor that owns the reducer and carries out its effects |
-//! | `exchange`, `read`, `attempt`, `resume` | one request and its answer |
-//! | `stream`, `delimiter`, [`events`], [`records`], [`checksum`] | an answer on its way, and where it ends |
+//! | `shell` | state shared by all tasks of one box |
+//! | `core` | the actor that owns the reducer and applies its effects |
+//! | `exchange`, `read`, `attempt`, `resume` | handling of one request and its response |
+//! | `stream`, `delimiter`, [`events`], [`records`], [`checksum`] | response streams |
 //! | `serve`, `framing`, `dial`, `body`, `head` | HTTP to callers, backend servers and boxes |
-//! | `gossip` | nng between boxes |
-//! | `store`, `follow`, `list` | the platform, by our own interface |
-//! | [`sync`], `directory` | the users' platform |
-//! | `signs` | what streams tell of backend servers |
-//! | [`admin`], [`order`] | the operators' interface, and their orders for roll-outs |
-//! | `worst` | which customers are served worst here |
-//! | `repeats` | how the retry budgets are used |
-//! | `report`, [`lines`] | what the log and the metrics tell, and the log's way out |
-//! | `metrics`, `trace`, `clock`, `replay`, [`pack`] | what these need |
+//! | `gossip` | messages between boxes over nng |
+//! | `store`, `follow`, `list` | the platform, through the gateway's own interface |
+//! | [`sync`], `directory` | the platform, through the users' interface |
+//! | `signs` | liveness of backend servers, observed on response streams |
+//! | [`admin`], [`order`] | the admin API, and roll-outs that operators start and stop |
+//! | `worst` | the customers with the worst service on this box |
+//! | `repeats` | usage of the retry budgets |
+//! | `report`, [`lines`] | request logging and metrics, and the non-blocking log writer |
+//! | `metrics`, `trace`, `clock`, `replay`, [`pack`] | supporting modules |
 
 pub mod admin;
 mod ask;
@@ -90,25 +90,26 @@
 
 pub use self::head::{IDEMPOTENCY_KEY, KEY_PREFIX, LEFT, REGION, VERDICT};
 
-/// How often a box that stops looks whether its work is done.
+/// Interval at which a stopping box checks whether any requests are still in flight.
 const STOP_POLL: Duration = Duration::from_millis(50);
 
-/// Where a box listens; a port of 0 in the settings was chosen by the kernel.
+/// The addresses that a box listens on. A port of 0 in the settings is replaced here by the port
+/// that the kernel assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// For callers.
+    /// The listener for callers.
     pub public: SocketAddr,
-    /// For other boxes, HTTP.
+    /// The HTTP listener for other boxes.
     pub peer: SocketAddr,
-    /// For other boxes, nng.
+    /// The nng listener for other boxes.
     pub gossip: SocketAddr,
-    /// For operators.
+    /// The listener of the admin API.
     pub admin: SocketAddr,
-    /// For the platform's readiness checks.
+    /// The listener for the platform's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// For look-ups of boxes.
+    /// The listener on which callers look up boxes.
     pub directory: Option<SocketAddr>,
-    /// For collectors of metrics.
+    /// The listener for metrics collectors.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -127,12 +128,12 @@
             f,
             "public={public} peer={peer} gossip={gossip} admin={admin}"
         )?;
-        let more = [
+        let optional = [
             ("ready", ready),
             ("directory", directory),
             ("metrics", metrics),
         ];
-        for (name, address) in more {
+        for (name, address) in optional {
             if let Some(address) = address {
                 write!(f, " {name}={address}")?;
             }
@@ -141,18 +142,18 @@
     }
 }
 
-/// Begins the planned stop of a box.
+/// Triggers the graceful shutdown of a box.
 #[derive(Clone, Debug)]
 pub struct Stopper(watch::Sender<bool>);
 
 impl Stopper {
-    /// Begins it; a second call changes nothing.
+    /// Starts the shutdown; further calls have no effect.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 }
 
-/// Takes over settings that were read again.
+/// Applies reloaded settings to a running box.
 #[derive(Clone)]
 pub struct Reloader {
     core: Handle,
@@ -160,10 +161,10 @@
 }
 
 impl Reloader {
-    /// Takes over what may change while a box runs; the rest waits for a restart.
+    /// Applies the settings that can change at run time; all others take effect after a restart.
     pub fn reload(&mut self, settings: Settings) {
         if settings == self.current {
-            return log::info!("settings: read again, unchanged.");
+            return log::info!("settings: reloaded, unchanged.");
         }
         let Settings {
             seeds, retry, size, ..
@@ -171,28 +172,25 @@
         self.current.seeds.clone_from(&seeds);
         self.current.retry = retry;
         if size != self.current.size {
-            log::info!("settings: size {size}, before {}.", self.current.size);
+            log::info!("settings: size {size}, previously {}.", self.current.size);
             self.core.tell(Event::Sized(size.weight()));
         }
         self.current.size = size;
-        log::info!(
-            "settings: read again, seeds={} retry={retry:?}.",
-            seeds.len()
-        );
+        log::info!("settings: reloaded, seeds={} retry={retry:?}.", seeds.len());
         if settings != self.current {
-            log::warn!("settings: other changes wait for a restart.");
+            log::warn!("settings: other changes take effect after a restart.");
         }
         self.current = settings;
         self.core.tell(Event::Reloaded { seeds, retry });
     }
 
-    /// Whether `settings` differ from those last taken over.
+    /// Reports whether `settings` differ from those applied last.
     pub fn is_news(&self, settings: &Settings) -> bool {
         self.current != *settings
     }
 }
 
-/// A box that runs.
+/// A running box.
 pub struct Gateway {
     shell: Arc<Shell>,
     listeners: Vec<JoinHandle<()>>,
@@ -201,7 +199,7 @@
 }
 
 impl Gateway {
-    /// Starts a box; every listener is bound before this returns.
+    /// Starts a box. All listeners are bound when this returns.
     pub async fn start(settings: Settings) -> eyre::Result<Self> {
         let settings = Arc::new(settings);
         let clock = Clock::start();
@@ -211,23 +209,23 @@
         let peer = serve::bind(settings.peer, "boxes").await?;
         let admin = serve::bind(settings.admin, "operators").await?;
         let gossip = gossip::bind(settings.gossip).await?;
-        let more = directory::bind(&settings).await?;
+        let optional = directory::bind(&settings).await?;
         let bound = Bound {
             public: public.local_addr()?,
             peer: peer.local_addr()?,
             gossip: gossip.address,
             admin: admin.local_addr()?,
-            ready: more.ready_address(),
-            directory: more.directory_address(),
-            metrics: more.metrics_address(),
+            ready: optional.ready_address(),
+            directory: optional.directory_address(),
+            metrics: optional.metrics_address(),
         };
         let identity = identity(&settings, &bound);
         let pool = Arc::new(Pool::default());
         let replay = Arc::new(Replay::default());
-        let (duty, duty_seen) = watch::channel(false);
-        let (boxes, boxes_seen) = watch::channel(1);
-        let (follow, follow_seen) = watch::channel(Follow::default());
-        let (current, current_seen) = watch::channel(None);
+        let (watch_store, watch_store_rx) = watch::channel(false);
+        let (boxes, boxes_rx) = watch::channel(1);
+        let (follow, follow_rx) = watch::channel(Follow::default());
+        let (current, current_rx) = watch::channel(None);
         let secret = settings.cluster_secret.clone();
         let store = Store::new(
             settings.stores.clone(),
@@ -243,7 +241,7 @@
             replay: replay.clone(),
             metrics: metrics.clone(),
             store: store.clone(),
-            duty,
+            watch_store,
             boxes,
             follow,
             current,
@@ -255,23 +253,28 @@
         core.tell(Event::Sized(settings.size.weight()));
         gossip::listen(gossip, secret, core.clone(), metrics.clone());
         match settings.interface {
-            Interface::Own => follow_own(&settings, &store, &core, &duty_seen),
+            Interface::Own => start_store_follower(&settings, &store, &core, &watch_store_rx),
             Interface::Platform => {
                 let duty = sync::Duty {
-                    boxes: boxes_seen,
-                    follow: follow_seen,
+                    boxes: boxes_rx,
+                    follow: follow_rx,
                 };
                 sync::start(&pool, &core, &settings, &metrics, duty);
             }
         }
         if let Some(address) = settings.list {
-            tokio::spawn(list::run(address, pool.clone(), core.clone(), duty_seen));
+            tokio::spawn(list::run(
+                address,
+                pool.clone(),
+                core.clone(),
+                watch_store_rx,
+            ));
         }
         let signs = Arc::<Signs>::default();
         tokio::spawn(tick(core.clone(), signs.clone()));
-        let pieces = settings.body_memory.0.div_ceil(read::PIECE);
+        let body_permits = settings.body_memory.0.div_ceil(read::PIECE);
         let shell = Arc::new(Shell {
-            bodies: Arc::new(Semaphore::new(pieces as usize)),
+            bodies: Arc::new(Semaphore::new(body_permits as usize)),
             settings,
             identity,
             clock,
@@ -282,20 +285,20 @@
             replay,
             metrics,
             tracer,
-            current: current_seen,
+            current: current_rx,
             requests: AtomicU64::new(1),
             stop: watch::Sender::new(false),
-            rosters: Mutex::default(),
+            roster_cache: Mutex::default(),
         });
         log::info!(
             "box: {} is up in {}.",
             shell.settings.name,
             shell.settings.region
         );
-        log::info!("box: listens on {bound}.");
+        log::info!("box: listening on {bound}.");
         let closing = watch::Sender::new(false);
         let mut listeners = listeners(&shell, public, peer, admin, &closing);
-        listeners.extend(directory::serve(&shell, more, &closing));
+        listeners.extend(directory::serve(&shell, optional, &closing));
         Ok(Self {
             shell,
             listeners,
@@ -304,12 +307,12 @@
         })
     }
 
-    /// Where the box listens.
+    /// Returns the addresses that the box listens on.
     pub fn bound(&self) -> Bound {
         self.bound
     }
 
-    /// A way to bring settings that were read again.
+    /// Returns a handle that applies reloaded settings to this box.
     pub fn reloader(&self) -> Reloader {
         Reloader {
             core: self.shell.core.clone(),
@@ -317,30 +320,33 @@
         }
     }
 
-    /// A way to begin the planned stop from elsewhere.
+    /// Returns a handle that triggers the graceful shutdown of this box.
     pub fn stopper(&self) -> Stopper {
         Stopper(self.shell.stop.clone())
     }
 
-    /// Runs until a planned stop was asked for and has ended; an error means that the reducer broke,
-    /// and that the process should end, since it can decide nothing any more.
+    /// Runs until a requested graceful shutdown is complete.
+    ///
+    /// Returns an error if the reducer has failed. No request can be routed without it, so the
+    /// process should exit.
     pub async fn run(self) -> eyre::Result<()> {
-        let mut asked = self.shell.stop.subscribe();
+        let mut stop_requested = self.shell.stop.subscribe();
         tokio::select! {
-            _ = asked.wait_for(|stop| *stop) => {}
-            () = self.shell.core.stopped() => eyre::bail!("the reducer broke; see the log"),
+            _ = stop_requested.wait_for(|stop| *stop) => {}
+            () = self.shell.core.stopped() => eyre::bail!("the reducer failed; see the log"),
         }
-        log::info!("box: stopping; new callers are sent elsewhere.");
+        log::info!("box: stopping; new callers are redirected to other boxes.");
         self.shell.core.tell(Event::Stop);
         sleep(self.shell.settings.linger.duration()).await;
-        log::info!("box: the listeners close; requests in flight go on.");
+        log::info!("box: closing the listeners; requests in flight continue.");
         self.closing.send_replace(true);
         for listener in self.listeners {
             if let Err(error) = listener.await {
-                log::error!("box: a listener broke: {error}.");
+                log::error!("box: listener task failed: {error}.");
             }
         }
-        // Requests that go on without their caller have no connection here.
+        // Requests that continue after their caller disconnected have no open connection here, so
+        // the listeners did not wait for them.
         while self
             .shell
             .core
@@ -357,27 +363,32 @@
     }
 }
 
-/// Follows the store of our own interface.
-fn follow_own(
+/// Starts following the store through the gateway's own interface.
+fn start_store_follower(
     settings: &Arc<Settings>,
     store: &Store,
     core: &Handle,
-    duty: &watch::Receiver<bool>,
+    watch_store: &watch::Receiver<bool>,
 ) {
     let (store, core) = (store.clone(), core.clone());
-    tokio::spawn(follow::run(store, core, settings.clone(), duty.clone()));
+    tokio::spawn(follow::run(
+        store,
+        core,
+        settings.clone(),
+        watch_store.clone(),
+    ));
 }
 
 fn identity(settings: &Settings, bound: &Bound) -> Identity {
-    let told = settings.advertise;
+    let advertised = settings.advertise;
     Identity {
         contact: Contact {
             name: settings.name.clone(),
             region: settings.region.clone(),
             domain: settings.domain.clone(),
-            public: told.public.unwrap_or(bound.public),
-            peer: told.peer.unwrap_or(bound.peer),
-            gossip: told.gossip.unwrap_or(bound.gossip),
+            public: advertised.public.unwrap_or(bound.public),
+            peer: advertised.peer.unwrap_or(bound.peer),
+            gossip: advertised.gossip.unwrap_or(bound.gossip),
         },
         incarnation: clock::incarnation(),
         seeds: settings.seeds.clone(),
@@ -398,7 +409,7 @@
 ) -> Vec<JoinHandle<()>> {
     let max_head = shell.settings.max_head.0 as usize;
     let metrics = shell.metrics.clone();
-    let seen = || closing.subscribe();
+    let closing_rx = || closing.subscribe();
     let exchange = |door| {
         let shell = shell.clone();
         move |request| exchange::serve(shell.clone(), request, door)
@@ -413,17 +424,23 @@
             public,
             max_head,
             metrics.clone(),
-            seen(),
+            closing_rx(),
             exchange(Public),
         )),
         tokio::spawn(serve::run(
             peer,
             max_head,
             metrics.clone(),
-            seen(),
+            closing_rx(),
             exchange(Peer),
         )),
-        tokio::spawn(serve::run(admin, max_head, metrics, seen(), operators)),
+        tokio::spawn(serve::run(
+            admin,
+            max_head,
+            metrics,
+            closing_rx(),
+            operators,
+        )),
     ]
 }
 
@@ -432,9 +449,9 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let heard = signs.take();
-        if !heard.is_empty() {
-            core.tell(Event::Alive(heard));
+        let alive = signs.take();
+        if !alive.is_empty() {
+            core.tell(Event::Alive(alive));
         }
         core.tell(Event::Tick);
     }
--- a/src/gateway/order.rs
+++ b/src/gateway/order.rs
@@ -1,5 +1,5 @@
-//! Operators' orders for roll-outs on our own interface, and what the boxes write of them, beside the
-//! configuration in the store.
+//! Roll-outs that operators start and stop through the gateway's own interface. Roll-outs and their
+//! state are stored together with the configuration.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,32 +29,35 @@
     settings::{Interface, Settings},
 };
 
-/// How often a write is tried again that others were ahead of.
+/// Most attempts of a write that loses against concurrent writes.
 const TRIES: u32 = 5;
-/// How often and how far apart a write is looked for whose answer was lost.
-const LOOKS: (u32, Duration) = (5, Duration::from_millis(400));
-/// Servers of a release that are knocked at before an order, at most: enough to find one in each of many regions.
-const KNOCKS: usize = 256;
+/// The number and interval of the reads that check whether a write with unknown outcome took
+/// effect.
+const WRITE_CHECKS: (u32, Duration) = (5, Duration::from_millis(400));
+/// Most backend servers of a release that are probed before a roll-out starts: enough to find one
+/// in each of many regions.
+const MAX_PROBES: usize = 256;
 
-/// What became of an order or a stop.
+/// The outcome of starting or stopping a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Outcome {
-    /// It stands, and every box follows it within seconds.
+    /// The change is written, and all boxes apply it within seconds.
     Accepted {
-        /// The version of the configuration that holds it.
+        /// The version of the configuration that contains the change.
         version: Version,
     },
-    /// It was not taken; nothing was written.
+    /// The change was rejected; nothing was written.
     Refused {
-        /// Why.
+        /// The reason of the rejection.
         reason: String,
     },
-    /// The store did not say whether it was written.
+    /// The store did not confirm whether the change was written.
     Unknown,
-    /// The store could not be read, or others wrote each time; nothing was written.
+    /// The store could not be read, or each attempt lost against a concurrent write; nothing was
+    /// written.
     Unavailable {
-        /// Why.
+        /// The reason of the failure.
         reason: String,
     },
 }
@@ -75,20 +78,21 @@
     }
 }
 
-/// What the reducer is told of the roll-outs that `record` holds.
-pub(super) fn ordered(record: &Record) -> Event {
+/// Returns the event that passes the roll-outs in `record` to the reducer.
+pub(super) fn rollouts_event(record: &Record) -> Event {
     Event::Rollouts {
         rollouts: record.rollouts.clone(),
         revision: revision(record.envelope.version),
     }
 }
 
-/// Versions count what happens to orders here, as the platform's store does by its revisions.
+/// Returns the revision that corresponds to a configuration version. Versions order the roll-out
+/// changes here, as revisions do in the platform's store.
 fn revision(version: Version) -> Revision {
     Revision::first(version.0)
 }
 
-/// What is needed to write orders, and how they stand.
+/// Writes roll-outs and their state to the store.
 pub(super) struct Desk {
     pub(super) store: Store,
     pub(super) core: Handle,
@@ -106,19 +110,19 @@
         }
     }
 
-    /// Gives an order.
+    /// Starts a roll-out.
     pub(super) async fn start(&self, author: &str, ask: &Ask) -> Outcome {
-        if let Err(outcome) = self.own_interface() {
+        if let Err(outcome) = self.require_own_interface() {
             return outcome;
         }
         let Some(survey) = self.core.survey(&ask.service, &ask.release).await else {
             let reason = "the box is stopping".to_owned();
             return Outcome::Unavailable { reason };
         };
-        let closed = closed(survey.addresses().take(KNOCKS)).await;
+        let closed = closed_addresses(survey.addresses().take(MAX_PROBES)).await;
         let checked = survey.check(ask, &closed);
         let edit = |rollouts: &mut Rollouts, version| {
-            // What the store holds tells more of why it can't be.
+            // The stored roll-out is checked first: it gives the more specific reason of a refusal.
             check_standing(rollouts.get(&ask.service), ask)?;
             checked.clone()?;
             let entry = rollouts.entry(ask.service.clone()).or_default();
@@ -142,9 +146,9 @@
         outcome
     }
 
-    /// Takes an order back.
+    /// Stops a roll-out.
     pub(super) async fn stop(&self, author: &str, service: &Service) -> Outcome {
-        if let Err(outcome) = self.own_interface() {
+        if let Err(outcome) = self.require_own_interface() {
             return outcome;
         }
         let edit = |rollouts: &mut Rollouts, _| {
@@ -160,17 +164,17 @@
         outcome
     }
 
-    /// Writes how a roll-out stands, unless its end was written, or the order is another one by now. The
-    /// reducer asks again where no news tell of it.
+    /// Writes the state of a roll-out, unless its end is already written or a different order has
+    /// replaced it. If no update shows the new state, the reducer requests the write again.
     pub(super) async fn settle(&self, service: Service, order: Order, standing: Standing) {
         let edit = |rollouts: &mut Rollouts, version| {
             let entry = rollouts.get_mut(&service);
-            let same = entry.filter(|entry| entry.order.as_ref() == Some(&order));
-            let entry = same.ok_or_else(|| Refusal::NoOrder(service.clone()))?;
-            if let Some(before) = entry.standing()
-                && (before.is_end() || before == standing)
+            let same_order = entry.filter(|entry| entry.order.as_ref() == Some(&order));
+            let entry = same_order.ok_or_else(|| Refusal::NoOrder(service.clone()))?;
+            if let Some(previous) = entry.standing()
+                && (previous.is_end() || previous == standing)
             {
-                return Err(Refusal::Ended(before));
+                return Err(Refusal::Ended(previous));
             }
             entry.written = Some(Written {
                 standing,
@@ -180,21 +184,23 @@
             Ok(())
         };
         let author = format!("box {}", self.settings.name);
-        let name = standing.name();
+        let state = standing.name();
         match self.write(&author, edit).await {
             Outcome::Accepted { version } => {
-                log::info!("rollout: service={service} wrote={name} as={version}");
+                log::info!("rollout: service={service} wrote={state} as={version}");
             }
             Outcome::Refused { reason } => {
                 log::info!("rollout: service={service} wrote=nothing, others were first: {reason}");
             }
             other => {
-                log::warn!("rollout: service={service} the store did not take {name}: {other:?}")
+                log::warn!(
+                    "rollout: service={service} the store did not accept state {state}: {other:?}"
+                )
             }
         }
     }
 
-    fn own_interface(&self) -> Result<(), Outcome> {
+    fn require_own_interface(&self) -> Result<(), Outcome> {
         match self.settings.interface {
             Interface::Own => Ok(()),
             Interface::Platform => {
@@ -203,7 +209,8 @@
         }
     }
 
-    /// Writes what `edit` makes of the roll-outs as a new version with the same text.
+    /// Applies `edit` to the roll-outs and writes them as a new version with the same configuration
+    /// text.
     async fn write(
         &self,
         author: &str,
@@ -218,14 +225,14 @@
                 }
             };
             let current = self.current.borrow().clone().map(|c| c.record);
-            let Some(base) = newest(stored.record.as_ref(), current.as_deref()) else {
+            let Some(base) = newer_record(stored.record.as_ref(), current.as_deref()) else {
                 return Outcome::refused("there is no configuration yet");
             };
             let version = Version(base.envelope.version.0 + 1);
             let mut record = Record {
                 envelope: Envelope {
                     version,
-                    write: mark(),
+                    write: write_id(),
                     author: author.to_owned(),
                     text: base.envelope.text.clone(),
                 },
@@ -239,8 +246,8 @@
                 Ok(Swap::Done) => return self.accepted(record),
                 Ok(Swap::Lost) => {}
                 Err(error) => {
-                    log::warn!("rollout: a write's reply was lost: {error:#}.");
-                    return self.look(&stored, record).await;
+                    log::warn!("rollout: the store did not confirm a write: {error:#}.");
+                    return self.confirm_write(&stored, record).await;
                 }
             }
         }
@@ -248,30 +255,32 @@
         Outcome::Unavailable { reason }
     }
 
-    /// The box that wrote has it at once.
+    /// Offers the written configuration to this box at once, without waiting for the store watch.
     fn accepted(&self, record: Record) -> Outcome {
         let version = record.envelope.version;
         follow::offer(&self.core, &self.settings, record, Source::Store);
         Outcome::Accepted { version }
     }
 
-    /// Reads until the fate of a write shows; `before` is what stood before it.
-    async fn look(&self, before: &Stored, record: Record) -> Outcome {
-        let (tries, pause) = LOOKS;
-        for _ in 0..tries {
-            sleep(pause).await;
-            let Ok(now) = self.store.read().await else {
+    /// Reads the store until the outcome of an unconfirmed write is known; `before` is the record
+    /// read before the write.
+    async fn confirm_write(&self, before: &Stored, record: Record) -> Outcome {
+        let (checks, interval) = WRITE_CHECKS;
+        for _ in 0..checks {
+            sleep(interval).await;
+            let Ok(after) = self.store.read().await else {
                 continue;
             };
-            let found = now.record.as_ref().map(|found| &found.envelope);
+            let found = after.record.as_ref().map(|found| &found.envelope);
             if found.is_some_and(|found| found.write == record.envelope.write) {
                 return self.accepted(record);
             }
             if found.is_some_and(|found| found.version == record.envelope.version) {
                 return Outcome::refused("another change was first; look, and try again");
             }
-            if now.revision != before.revision {
-                // A later change stands; whether it followed this one cannot be seen.
+            if after.revision != before.revision {
+                // The store holds a later change; it is not known whether that was based on this
+                // write.
                 break;
             }
         }
@@ -279,13 +288,14 @@
     }
 }
 
-/// A random mark of a write, by which a writer knows its own.
-pub(super) fn mark() -> String {
+/// Returns a random identifier by which a writer recognises its own write.
+pub(super) fn write_id() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
 
-/// The newer of what the store holds and what is in force: a store may have gone back.
-pub(super) fn newest<'a>(
+/// Returns the newer of the stored and the active configuration. The stored one can be older after
+/// the store was restored from a copy.
+pub(super) fn newer_record<'a>(
     stored: Option<&'a Record>,
     in_force: Option<&'a Record>,
 ) -> Option<&'a Record> {
@@ -293,14 +303,14 @@
     both.max_by_key(|record| record.envelope.version)
 }
 
-/// Those of `addresses` where nothing listens.
-async fn closed(addresses: impl Iterator<Item = SocketAddr>) -> BTreeSet<SocketAddr> {
-    let mut knocks = JoinSet::new();
+/// Returns the addresses at which no server listens.
+async fn closed_addresses(addresses: impl Iterator<Item = SocketAddr>) -> BTreeSet<SocketAddr> {
+    let mut probes = JoinSet::new();
     for address in addresses {
-        knocks.spawn(async move { dial::is_closed(address).await.then_some(address) });
+        probes.spawn(async move { dial::is_closed(address).await.then_some(address) });
     }
-    let all = knocks.join_all().await;
-    all.into_iter().flatten().collect()
+    let results = probes.join_all().await;
+    results.into_iter().flatten().collect()
 }
 
 struct SurveyQuery {
@@ -324,7 +334,7 @@
 }
 
 impl Handle {
-    /// The servers that an order speaks of.
+    /// Returns the backend servers that a roll-out of `release` concerns.
     async fn survey(&self, service: &Service, release: &Release) -> Option<Survey> {
         let query = SurveyQuery {
             service: service.clone(),
--- a/src/gateway/repeats.rs
+++ b/src/gateway/repeats.rs
@@ -1,4 +1,4 @@
-//! Tells the log and the metrics how the retry budgets are used.
+//! Reports retry-budget usage in the log and the metrics.
 
 use std::collections::HashMap;
 
@@ -9,32 +9,38 @@
     unit::{Millis, Time},
 };
 
-/// Time between two looks. Sums stay whole where the lines of single requests are bounded.
-const LOOK: Millis = Millis(1000);
+/// Interval between two reports. These totals stay complete when the log lines of single requests
+/// are rate-limited.
+const REPORT_INTERVAL: Millis = Millis(1000);
 
-/// What the log was told last.
+/// State of the last report.
 #[derive(Default)]
-pub(super) struct Repeats {
-    counts: HashMap<Service, Counts>,
-    looked: Time,
+pub(super) struct RepeatReport {
+    logged_counts: HashMap<Service, Counts>,
+    reported_at: Time,
 }
 
 impl Core {
-    /// Tells how often attempts beyond the first were asked for, where any were since the last look.
-    pub(super) fn tell_repeats(&mut self) {
+    /// Updates the retry metrics, and logs the services whose retry counts changed since the last
+    /// report.
+    pub(super) fn report_repeats(&mut self) {
         let now = self.parts.clock.now();
-        if now.since(self.repeats.looked) < LOOK {
+        if now.since(self.repeats.reported_at) < REPORT_INTERVAL {
             return;
         }
-        self.repeats.looked = now;
+        self.repeats.reported_at = now;
         let rows = self.state.repeats(now);
-        self.parts.metrics.tell_repeats(&rows);
+        self.parts.metrics.set_repeats(&rows);
         for row in rows {
-            let told = self.repeats.counts.entry(row.service.clone()).or_default();
-            if *told == row.counts {
+            let logged = self
+                .repeats
+                .logged_counts
+                .entry(row.service.clone())
+                .or_default();
+            if *logged == row.counts {
                 continue;
             }
-            *told = row.counts;
+            *logged = row.counts;
             log::info!(
                 "repeats: service={} {} {} boxes={}",
                 row.service,
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -1,4 +1,4 @@
-//! What the log and the metrics tell of events and effects.
+//! Logs events and effects of the reducer, and records them in the metrics.
 
 use crate::{
     gateway::core::Core,
@@ -12,12 +12,12 @@
     wire::Phase,
 };
 
-/// Time between two looks at allotments for the metrics.
-const TELL_ALLOTMENTS: Millis = Millis(1000);
-/// Time between two lines on the bytes between boxes.
-const TELL_TRAFFIC: Millis = Millis(10_000);
+/// Interval between two updates of the allotment and roll-out metrics.
+const ALLOTMENT_METRICS_INTERVAL: Millis = Millis(1000);
+/// Interval between two log lines about the traffic between boxes.
+const TRAFFIC_LOG_INTERVAL: Millis = Millis(10_000);
 
-/// Where an attempt goes and what decided it, as the log tells it.
+/// Formats the log line of an attempt: its target and the inputs of the routing decision.
 struct SendLine<'a>(&'a SendOrder);
 
 impl std::fmt::Display for SendLine<'_> {
@@ -71,39 +71,40 @@
 }
 
 impl Core {
-    /// Brings the gauges up to date.
-    pub(super) fn gauge(&mut self) {
+    /// Updates the gauges and the fleet size, and periodically the allotment and roll-out metrics
+    /// and the traffic log.
+    pub(super) fn update_gauges(&mut self) {
         let now = self.parts.clock.now();
         let boxes = self.state.fleet_size(now);
-        self.parts.boxes.send_if_modified(|known| {
-            let changed = *known != boxes;
-            *known = boxes;
+        self.parts.boxes.send_if_modified(|current| {
+            let changed = *current != boxes;
+            *current = boxes;
             changed
         });
         let metrics = &self.parts.metrics;
         let ready = self.state.phase(now) == Phase::Ready;
         metrics.ready.set(i64::from(ready));
-        metrics.in_hand.set(self.state.busy() as i64);
+        metrics.in_flight.set(self.state.busy() as i64);
         metrics.waiting.set(self.state.waiting() as i64);
         let weight = self.state.weight().map_or(0, Weight::number);
         metrics.weight.set(i64::from(weight));
         metrics.full.set(i64::from(self.state.is_full()));
         metrics.limited.set(self.state.limited() as i64);
         metrics.pushed_back.set(self.state.pushed_back(now) as i64);
-        metrics.tell_engines(
+        metrics.set_engines(
             self.state.followed_engines(),
             self.state.engine_news_age(now),
         );
         metrics.departing.set(self.state.departing() as i64);
-        metrics.keys.set(self.state.keys() as i64);
+        metrics.idempotency_keys.set(self.state.keys() as i64);
         metrics.version.set(self.state.version().0 as i64);
-        if now.since(self.allotments_told) >= TELL_ALLOTMENTS {
-            self.allotments_told = now;
-            metrics.tell_allotments(&self.state.allotments(now));
-            metrics.tell_rollouts(&self.state.rollouts(now));
+        if now.since(self.allotments_updated_at) >= ALLOTMENT_METRICS_INTERVAL {
+            self.allotments_updated_at = now;
+            metrics.set_allotments(&self.state.allotments(now));
+            metrics.set_rollouts(&self.state.rollouts(now));
         }
-        if now.since(self.traffic_told) >= TELL_TRAFFIC {
-            self.traffic_told = now;
+        if now.since(self.traffic_logged_at) >= TRAFFIC_LOG_INTERVAL {
+            self.traffic_logged_at = now;
             log::info!("peers: bytes {}", metrics.traffic());
         }
         let revision = self.state.revision();
@@ -111,7 +112,7 @@
         metrics.store_revision.set(revision.number as i64);
     }
 
-    pub(super) fn measure_event(&self, event: &Event) {
+    pub(super) fn record_event_metrics(&self, event: &Event) {
         if let Event::Ended {
             whole: true,
             timing,
@@ -119,12 +120,16 @@
         } = event
         {
             let metrics = &self.parts.metrics;
-            metrics.whole.observe(timing.whole.duration().as_secs_f64());
-            metrics.pause.observe(timing.pause.duration().as_secs_f64());
+            metrics
+                .complete_response
+                .observe(timing.whole.duration().as_secs_f64());
+            metrics
+                .longest_pause
+                .observe(timing.pause.duration().as_secs_f64());
         }
     }
 
-    pub(super) fn measure_effect(&self, effect: &Effect) {
+    pub(super) fn record_effect_metrics(&self, effect: &Effect) {
         let metrics = &self.parts.metrics;
         let send = match effect {
             Effect::Send(send) => send,
@@ -141,7 +146,7 @@
         };
         if send.basis.prompt > 0 && matches!(send.target, Target::Backend { .. }) {
             let basis = if send.basis.told { "told" } else { "guessed" };
-            metrics.beliefs.with_label_values(&[basis]).inc();
+            metrics.prompt_estimates.with_label_values(&[basis]).inc();
         }
         if send.basis.number > 1 {
             return metrics.repeats.inc();
@@ -150,7 +155,7 @@
         metrics.waited.observe(waited);
     }
 
-    /// Writes one line of a request, within the quota.
+    /// Logs one line about a request, unless the line quota is used up.
     fn log_request(&mut self, request: id::Request, line: impl std::fmt::Display) {
         let now = self.parts.clock.now();
         if !log::log_enabled!(log::Level::Info) {
@@ -249,7 +254,7 @@
                     ),
                 );
             }
-            Effect::Move(order) => {
+            Effect::Move(move_order) => {
                 let Move {
                     attempt,
                     from,
@@ -258,9 +263,9 @@
                     left,
                     tokens,
                     ..
-                } = order;
+                } = move_order;
                 self.log_request(
-                    order.request,
+                    move_order.request,
                     format_args!(
                         "moves attempt={} from={}@{} to={}@{} last={last} left={left} tokens={tokens}",
                         attempt.0, from.name, from.address, to.name, to.address
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one box share, and the small questions that they ask of it.
+//! State shared by all tasks of one box, and simple queries on it.
 
 use std::{
     collections::BTreeMap,
@@ -39,10 +39,10 @@
     wire::Phase,
 };
 
-/// When to come back to a box that has no configuration yet.
-const READY_SOON: Millis = Millis(1000);
+/// Retry delay that is sent to callers of a box that has no configuration yet.
+const UNREADY_RETRY_AFTER: Millis = Millis(1000);
 
-/// What all tasks of one box share.
+/// The state that all tasks of one box share.
 pub(crate) struct Shell {
     pub(super) settings: Arc<Settings>,
     pub(super) identity: Identity,
@@ -58,27 +58,32 @@
     pub(super) bodies: Arc<Semaphore>,
     pub(super) requests: AtomicU64,
     pub(super) stop: watch::Sender<bool>,
-    /// Lists of backend servers, and of what changed after a revision, as they were packed lately, and when.
-    pub(super) rosters: Mutex<Rosters>,
+    /// Recently packed lists of backend servers, complete or limited to the changes after a
+    /// revision.
+    pub(super) roster_cache: Mutex<RosterCache>,
 }
 
-/// How long a packed list is given out: boxes that start together ask for it together, and packing 10,002
-/// servers takes a box of an eighth of a core some tenths of a second. A hub is asked for the same changes by
-/// all boxes of its failure domain that missed them. Who takes an older list fetches what changed since.
-const PACKED_FOR: Duration = Duration::from_secs(1);
+/// How long a packed list is served from the cache.
+///
+/// Boxes that start together request the list together, and packing 10,002 servers takes some
+/// tenths of a second on an eighth of a core. A hub also receives requests for the same changes
+/// from all boxes of its failure domain that missed them. A box that receives an outdated list
+/// fetches the changes made since.
+const ROSTER_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// Packed lists by the revision after which they tell what changed; none for all servers.
-type Rosters = BTreeMap<Option<Revision>, (Moment, Bytes)>;
+/// Packed lists with the time of packing, by the revision after which they list changes; the key is
+/// `None` for the complete list.
+type RosterCache = BTreeMap<Option<Revision>, (Moment, Bytes)>;
 
 impl Shell {
-    /// What this box knows of registered backend servers, or what changed of it after `since`, as other boxes
-    /// fetch it.
+    /// Returns the registered backend servers that this box knows, or the changes after `since`, in
+    /// the encoding that other boxes fetch.
     pub(super) async fn packed_roster(
         &self,
         since: Option<Revision>,
     ) -> eyre::Result<Option<Bytes>> {
-        if let Some((at, packed)) = self.lock_rosters().get(&since)
-            && at.elapsed() < PACKED_FOR
+        if let Some((at, packed)) = self.lock_roster_cache().get(&since)
+            && at.elapsed() < ROSTER_CACHE_TTL
         {
             return Ok(Some(packed.clone()));
         }
@@ -86,15 +91,18 @@
             return Ok(None);
         };
         let packed = pack::pack(&roster)?;
-        let mut rosters = self.lock_rosters();
-        rosters.retain(|_, (at, _)| at.elapsed() < PACKED_FOR);
-        rosters.insert(since, (Moment::now(), packed.clone()));
+        let mut cache = self.lock_roster_cache();
+        cache.retain(|_, (at, _)| at.elapsed() < ROSTER_CACHE_TTL);
+        cache.insert(since, (Moment::now(), packed.clone()));
         Ok(Some(packed))
     }
 
-    fn lock_rosters(&self) -> MutexGuard<'_, Rosters> {
-        // A packed list is whole whatever a panicking task did.
-        self.rosters.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_roster_cache(&self) -> MutexGuard<'_, RosterCache> {
+        // Entries are inserted whole, so the map is consistent even if a task panicked with the
+        // lock.
+        self.roster_cache
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn next_request(&self) -> id::Request {
@@ -109,28 +117,28 @@
         self.settings.admin_token.as_bytes().ct_eq(token).into()
     }
 
-    /// Refuses a stranger before its body is read; the reducer decides again.
+    /// Rejects unknown callers before their body is read. The reducer repeats the check.
     pub(super) fn known(&self, credential: &Credential) -> Result<(), Reply> {
         let current = self.current.borrow();
         let Some(current) = current.as_ref() else {
             let reply = Reply::new(503, Verdict::NotRun, "this box is not ready");
-            return Err(reply.after(READY_SOON));
+            return Err(reply.after(UNREADY_RETRY_AFTER));
         };
         match credential {
             Credential::Key(hash) if current.config.customer(hash).is_some() => Ok(()),
-            // Some route needs none; the reducer looks at the route.
+            // Some routes may allow anonymous requests; the reducer checks the route.
             _ if current.config.anonymous.is_some() => Ok(()),
             _ => Err(Reply::new(401, Verdict::NotRun, "the API key is unknown")),
         }
     }
 
-    /// Whether customers have API keys, by the configuration in force.
+    /// Reports whether the active configuration gives customers API keys.
     pub(super) fn has_keys(&self) -> bool {
         let current = self.current.borrow();
         current.as_ref().is_some_and(|c| c.config.has_keys())
     }
 
-    /// A fresh pin that names this box.
+    /// Creates a pin that names this box and expires after the default lifetime.
     pub(super) fn own_pin(&self) -> Pin {
         Pin {
             peer: self.identity.contact.peer,
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop, carried between processes by `traceparent`.
+//! Distributed tracing: one span per hop, propagated between processes in the `traceparent` header.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,9 +24,9 @@
 
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-struct Reader<'a>(&'a HeaderMap);
+struct HeaderExtractor<'a>(&'a HeaderMap);
 
-impl Extractor for Reader<'_> {
+impl Extractor for HeaderExtractor<'_> {
     fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key)?.to_str().ok()
     }
@@ -36,9 +36,9 @@
     }
 }
 
-struct Writer<'a>(&'a mut HeaderMap);
+struct HeaderInjector<'a>(&'a mut HeaderMap);
 
-impl Injector for Writer<'_> {
+impl Injector for HeaderInjector<'_> {
     fn set(&mut self, key: &str, value: String) {
         let name = HeaderName::from_bytes(key.as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(&value)) {
@@ -47,25 +47,25 @@
     }
 }
 
-/// Runs an exporter on the runtime: the library calls it from a thread of its own.
+/// Runs an exporter on the tokio runtime, since the library calls it from its own thread.
 #[derive(Debug)]
-struct OnRuntime {
+struct RuntimeExporter {
     inner: Arc<opentelemetry_otlp::SpanExporter>,
     runtime: tokio::runtime::Handle,
 }
 
-impl SpanExporter for OnRuntime {
+impl SpanExporter for RuntimeExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let inner = self.inner.clone();
         let task = self.runtime.spawn(async move { inner.export(batch).await });
-        let failed = |e: tokio::task::JoinError| {
-            opentelemetry_sdk::error::OTelSdkError::InternalFailure(e.to_string())
+        let join_error = |error: tokio::task::JoinError| {
+            opentelemetry_sdk::error::OTelSdkError::InternalFailure(error.to_string())
         };
-        task.await.map_err(failed)?
+        task.await.map_err(join_error)?
     }
 }
 
-/// Makes the spans of one box, or none where nobody collects them.
+/// Creates the spans of one box, or none if no collector is configured.
 #[derive(Clone, Debug)]
 pub struct Tracer(Option<Spans>);
 
@@ -77,32 +77,33 @@
 }
 
 impl Tracer {
-    /// Spans go to `collector` (OTLP over HTTP); without one none are made.
+    /// Creates a tracer that exports to `collector` (OTLP over HTTP). Without a collector, no spans
+    /// are created.
     pub fn new(name: &BoxName, collector: Option<SocketAddr>) -> eyre::Result<Self> {
         let spans = collector.map(|address| Spans::new(name, address));
         spans.transpose().map(Self)
     }
 
-    /// Begins the span of a request that came with `headers`.
+    /// Starts the span of a received request, as a child of the span named in `headers`.
     pub fn receive(&self, name: &'static str, headers: &HeaderMap) -> Span {
         let context = self.0.as_ref().map(|spans| spans.receive(name, headers));
         Span { context }
     }
 
-    /// Begins the span of an attempt below `parent` and names it in `headers`.
+    /// Starts the span of an attempt as a child of `parent`, and adds its context to `headers`.
     pub fn send(&self, name: &'static str, parent: &Span, headers: &mut HeaderMap) -> Span {
-        let pair = self.0.as_ref().zip(parent.context.as_ref());
-        let context = pair.map(|(spans, parent)| spans.send(name, parent, headers));
+        let enabled = self.0.as_ref().zip(parent.context.as_ref());
+        let context = enabled.map(|(spans, parent)| spans.send(name, parent, headers));
         Span { context }
     }
 
-    /// Sends what is left.
+    /// Exports the remaining spans and shuts the exporter down.
     pub fn shutdown(&self) {
         let Some(spans) = &self.0 else {
             return;
         };
         if let Err(error) = spans.provider.shutdown() {
-            log::debug!("trace: shutdown: {error}");
+            log::debug!("trace: shutdown failed: {error}");
         }
     }
 }
@@ -121,7 +122,7 @@
             .with_endpoint(format!("http://{collector}/v1/traces"))
             .build()
             .wrap_err("cannot set up the trace exporter")?;
-        let exporter = OnRuntime {
+        let exporter = RuntimeExporter {
             inner: Arc::new(exporter),
             runtime: tokio::runtime::Handle::current(),
         };
@@ -139,32 +140,32 @@
     fn receive(&self, name: &'static str, headers: &HeaderMap) -> Context {
         let parent = self
             .propagator
-            .extract_with_context(&Context::new(), &Reader(headers));
-        self.begin(name, SpanKind::Server, &parent)
+            .extract_with_context(&Context::new(), &HeaderExtractor(headers));
+        self.start_span(name, SpanKind::Server, &parent)
     }
 
     fn send(&self, name: &'static str, parent: &Context, headers: &mut HeaderMap) -> Context {
-        let context = self.begin(name, SpanKind::Client, parent);
+        let context = self.start_span(name, SpanKind::Client, parent);
         self.propagator
-            .inject_context(&context, &mut Writer(headers));
+            .inject_context(&context, &mut HeaderInjector(headers));
         context
     }
 
-    fn begin(&self, name: &'static str, kind: SpanKind, parent: &Context) -> Context {
+    fn start_span(&self, name: &'static str, kind: SpanKind, parent: &Context) -> Context {
         let builder = self.tracer.span_builder(name).with_kind(kind);
         let span = self.tracer.build_with_context(builder, parent);
         parent.with_span(span)
     }
 }
 
-/// One hop of a request; it ends when the last holder drops it.
+/// The span of one hop of a request; it ends when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Span {
     context: Option<Context>,
 }
 
 impl Span {
-    /// Adds a fact to the span.
+    /// Sets an attribute of the span.
     pub fn note(&self, key: &'static str, value: impl ToString) {
         if let Some(context) = &self.context {
             let value = KeyValue::new(key, value.to_string());
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The trace's number, as a caller may quote it.
+    /// Returns the trace ID, or `None` if tracing is disabled.
     pub fn trace_id(&self) -> Option<String> {
         let context = self.context.as_ref()?;
         Some(context.span().span_context().trace_id().to_string())
--- a/src/gateway/worst.rs
+++ b/src/gateway/worst.rs
@@ -1,4 +1,5 @@
-//! Counts how customers' requests end here, for the status, the metrics and the log.
+//! Counts the outcomes of customers' requests on this box, and reports the customers with the worst
+//! service in the status, the metrics and the log.
 
 use crate::{
     gateway::core::Core,
@@ -11,29 +12,30 @@
     unit::{Millis, Time},
 };
 
-/// Time between two looks for the metrics.
-const LOOK: Millis = Millis(1000);
-/// Time between two lines on the customers who are served worst, and how many are named.
-const TELL: (Millis, usize) = (Millis(60_000), 5);
+/// Interval between two updates of the metrics.
+const METRICS_INTERVAL: Millis = Millis(1000);
+/// Interval between two log reports, and the most customers that one report lists.
+const LOG_REPORT: (Millis, usize) = (Millis(60_000), 5);
 
-/// Whose request it is, and when its answer is due to begin.
-pub(super) struct Guest {
+/// The customer of a request, and the time within which its response must begin.
+pub(super) struct CustomerRequest {
     customer: id::Customer,
-    came: Time,
+    arrived_at: Time,
     target: Millis,
 }
 
-/// How customers' requests ended, and when the metrics and the log were last told of it.
+/// Outcomes of customers' requests, and when they were last reported.
 #[derive(Default)]
-pub(super) struct Ended {
+pub(super) struct CustomerOutcomes {
     pub(super) service: Service,
-    looked: Time,
-    logged: Time,
+    metrics_updated_at: Time,
+    logged_at: Time,
 }
 
 impl Core {
-    /// Who sent a request; none where it came over another box, which counts it.
-    pub(super) fn guest(&self, arrival: &Arrival) -> Option<Guest> {
+    /// Returns the customer of a request and its time limit, or `None` for a request that came
+    /// through another box, which counts it.
+    pub(super) fn customer_request(&self, arrival: &Arrival) -> Option<CustomerRequest> {
         if arrival.hop != Hop::Direct {
             return None;
         }
@@ -45,48 +47,54 @@
         let customer = customer.or(config.anonymous.as_ref())?.clone();
         let route = config.route(arrival.host.as_deref(), &arrival.path)?;
         let left = arrival.left.unwrap_or(route.deadline);
-        Some(Guest {
+        Some(CustomerRequest {
             customer,
-            came: self.parts.clock.now(),
+            arrived_at: self.parts.clock.now(),
             target: route.target.map_or(left, |target| target.min(left)),
         })
     }
 
-    /// How `event` ends a request for its caller, where it does.
-    pub(super) fn ending(&self, event: &Event) -> Option<(id::Request, Outcome)> {
-        let (request, good) = match event {
+    /// Returns the outcome for the caller if `event` ends a request.
+    pub(super) fn customer_outcome(&self, event: &Event) -> Option<(id::Request, Outcome)> {
+        let (request, on_time) = match event {
             Event::Ended {
                 request,
                 whole,
                 timing: Timing { first, .. },
                 ..
             } => {
-                let guest = self.orders.get(request)?.guest.as_ref()?;
-                (*request, *whole && *first <= guest.target)
+                let entry = self.orders.get(request)?.customer_request.as_ref()?;
+                (*request, *whole && *first <= entry.target)
             }
             Event::Gone(request) => {
-                let guest = self.orders.get(request)?.guest.as_ref()?;
-                let waited = self.parts.clock.now().since(guest.came);
-                // A caller who leaves in time says nothing of how it was served.
-                (waited > guest.target).then_some((*request, false))?
+                let entry = self.orders.get(request)?.customer_request.as_ref()?;
+                let waited = self.parts.clock.now().since(entry.arrived_at);
+                // A caller that disconnects before the time limit is not counted: the response was
+                // not late yet.
+                (waited > entry.target).then_some((*request, false))?
             }
             _ => return None,
         };
-        let outcome = if good { Outcome::Served } else { Outcome::Late };
+        let outcome = if on_time {
+            Outcome::Served
+        } else {
+            Outcome::Late
+        };
         Some((request, outcome))
     }
 
-    /// Counts a request that has ended.
-    pub(super) fn count_ending(&mut self, request: id::Request, outcome: Outcome) {
+    /// Counts the outcome of a request that has ended.
+    pub(super) fn count_outcome(&mut self, request: id::Request, outcome: Outcome) {
         let open = self.orders.get(&request);
-        let guest = open.and_then(|open| open.guest.as_ref());
-        if let Some(customer) = guest.map(|guest| guest.customer.clone()) {
+        let entry = open.and_then(|open| open.customer_request.as_ref());
+        if let Some(customer) = entry.map(|entry| entry.customer.clone()) {
             let now = self.parts.clock.now();
-            self.ended.service.note(&customer, outcome, now);
+            self.customer_outcomes.service.note(&customer, outcome, now);
         }
     }
 
-    /// Counts the gateway's own answer; those to faults of the caller say nothing.
+    /// Counts a response that the gateway itself generated. Only 429 and 5xx are counted, since
+    /// other statuses report errors of the caller.
     pub(super) fn count_reply(&mut self, request: id::Request, reply: &Reply) {
         let outcome = match reply.status {
             429 => Outcome::Over,
@@ -94,24 +102,25 @@
             500..600 => Outcome::Late,
             _ => return,
         };
-        self.count_ending(request, outcome);
+        self.count_outcome(request, outcome);
     }
 
-    /// Tells the metrics, and once a minute the log, who is served worst.
-    pub(super) fn tell_worst(&mut self) {
+    /// Reports the customers with the worst service: to the metrics each second, and to the log
+    /// once a minute.
+    pub(super) fn report_worst_customers(&mut self) {
         let now = self.parts.clock.now();
-        if now.since(self.ended.looked) < LOOK {
+        if now.since(self.customer_outcomes.metrics_updated_at) < METRICS_INTERVAL {
             return;
         }
-        self.ended.looked = now;
-        self.ended.service.sweep(now);
-        let rows = self.ended.service.worst(now);
-        self.parts.metrics.tell_worst(&rows);
-        let (period, most) = TELL;
-        if rows.is_empty() || now.since(self.ended.logged) < period {
+        self.customer_outcomes.metrics_updated_at = now;
+        self.customer_outcomes.service.sweep(now);
+        let rows = self.customer_outcomes.service.worst(now);
+        self.parts.metrics.set_worst_customers(&rows);
+        let (interval, most) = LOG_REPORT;
+        if rows.is_empty() || now.since(self.customer_outcomes.logged_at) < interval {
             return;
         }
-        self.ended.logged = now;
+        self.customer_outcomes.logged_at = now;
         for row in rows.iter().take(most) {
             let tally = row.tally;
             log::info!(
