--- a/src/gateway/engine_news.rs
+++ b/src/gateway/engine_news.rs
@@ -1,4 +1,5 @@
-//! Follows the engines whose news of their memory this box is to hear: each by a task with one call at a time.
+//! Follows the cache events of the engines assigned to this box: one task per engine, with one call
+//! at a time.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,90 +16,91 @@
     reducer::event::Event,
 };
 
-/// Shortest time between the beginnings of two calls: a busy engine has something to tell at any time.
-const PACE: Duration = Duration::from_millis(500);
-/// Shortest time between two lists: an engine interrupts its work for one.
-const LIST_PACE: Duration = Duration::from_secs(2);
-/// After this long a new list makes good what events did not tell.
-const LIST_AGAIN: Duration = Duration::from_secs(20);
-/// How long a call that failed is not repeated: the first time, and at most.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
+/// Shortest time between the starts of two calls for events: a busy engine always has new ones.
+const CALL_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest time between the starts of two lists: an engine interrupts its work to make one.
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Age after which the list is read again, to correct what events did not report.
+const LIST_MAX_AGE: Duration = Duration::from_secs(20);
+/// Wait after a failed call: the first, and the longest; it doubles with each failure.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
-/// Why a list is read again.
+/// Why the list of cached parts is read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
-    /// Events are missing, or the engine started again.
+enum RelistReason {
+    /// Events are missing, or the engine has restarted.
     Gap,
-    /// It is time.
+    /// The list is older than [`LIST_MAX_AGE`].
     Age,
 }
 
-/// A pause after a failure, longer after each.
-struct Pause(Duration);
+/// An exponential backoff.
+struct Backoff(Duration);
 
-impl Pause {
+impl Backoff {
     fn new() -> Self {
-        Self(BACK_OFF.0)
+        Self(BACKOFF.0)
     }
 
     async fn wait(&mut self) {
         sleep(self.0).await;
-        self.0 = BACK_OFF.1.min(self.0 * 2);
+        self.0 = BACKOFF.1.min(self.0 * 2);
     }
 }
 
-/// Hears one engine for as long as it is polled, and passes its news to `tell`.
-pub async fn follow(pool: &Arc<Pool>, address: SocketAddr, tell: impl Fn(Result<News, Error>)) {
-    let mut pause = Pause::new();
+/// Follows one engine for as long as it is polled, and passes its list, its events and failed calls
+/// to `report`.
+pub async fn follow(pool: &Arc<Pool>, address: SocketAddr, report: impl Fn(Result<News, Error>)) {
+    let mut backoff = Backoff::new();
     loop {
-        let began = Instant::now();
-        match engine::listed(pool, address).await {
-            Ok(listed) => {
-                pause = Pause::new();
-                tell(Ok(News::All(listed.parts)));
-                if listen(pool, address, listed.cursor, &tell).await == Reason::Gap {
-                    tell(Ok(News::Gap));
+        let started = Instant::now();
+        match engine::list_cached(pool, address).await {
+            Ok(listing) => {
+                backoff = Backoff::new();
+                report(Ok(News::All(listing.parts)));
+                if poll_events(pool, address, listing.cursor, &report).await == RelistReason::Gap {
+                    report(Ok(News::Gap));
                 }
-                sleep_until(began + LIST_PACE).await;
+                sleep_until(started + LIST_INTERVAL).await;
             }
             Err(error) => {
-                tell(Err(error));
-                pause.wait().await;
+                report(Err(error));
+                backoff.wait().await;
             }
         }
     }
 }
 
-/// Hears events until a new list is needed.
-async fn listen(
+/// Polls events until a new list is needed.
+async fn poll_events(
     pool: &Arc<Pool>,
     address: SocketAddr,
     mut cursor: engine::Cursor,
-    tell: &impl Fn(Result<News, Error>),
-) -> Reason {
-    let listed = Instant::now();
-    let mut pause = Pause::new();
-    while listed.elapsed() < LIST_AGAIN {
-        let began = Instant::now();
+    report: &impl Fn(Result<News, Error>),
+) -> RelistReason {
+    let listed_at = Instant::now();
+    let mut backoff = Backoff::new();
+    while listed_at.elapsed() < LIST_MAX_AGE {
+        let started = Instant::now();
         match engine::events(pool, address, &cursor).await {
-            Ok(page) if page.gap => return Reason::Gap,
+            Ok(page) if page.gap => return RelistReason::Gap,
             Ok(page) => {
-                pause = Pause::new();
+                backoff = Backoff::new();
                 cursor = page.cursor;
-                tell(Ok(News::Changes(page.changes)));
-                sleep_until(began + PACE).await;
+                report(Ok(News::Changes(page.changes)));
+                sleep_until(started + CALL_INTERVAL).await;
             }
             Err(error) => {
-                tell(Err(error));
-                pause.wait().await;
+                report(Err(error));
+                backoff.wait().await;
             }
         }
     }
-    Reason::Age
+    RelistReason::Age
 }
 
 impl Core {
-    /// Begins to hear an engine.
+    /// Starts to follow an engine, in place of an earlier task for it.
     pub(super) fn follow_engine(
         &mut self,
         backend: id::Backend,
@@ -112,12 +114,14 @@
         let (pool, metrics) = (self.parts.pool.clone(), self.parts.metrics.clone());
         let name = backend.clone();
         let task = tokio::spawn(async move {
-            let tell = |news: Result<News, Error>| {
+            let report = |news: Result<News, Error>| {
                 let kind = news.as_ref().map_or("failed", News::kind);
                 metrics.engine_news.with_label_values(&[kind]).inc();
                 let news = match news {
                     Ok(news) => news,
-                    Err(error) => return log::warn!("engine: backend={backend} unheard: {error}"),
+                    Err(error) => {
+                        return log::warn!("engine: backend={backend} call failed: {error}");
+                    }
                 };
                 match &news {
                     News::All(parts) => {
@@ -132,14 +136,14 @@
                     news,
                 });
             };
-            follow(&pool, address, tell).await;
+            follow(&pool, address, report).await;
         });
         if let Some(old) = self.followers.insert(name, task.abort_handle()) {
             old.abort();
         }
     }
 
-    /// Hears an engine no longer.
+    /// Stops following an engine.
     pub(super) fn unfollow_engine(&mut self, backend: &id::Backend) {
         if let Some(task) = self.followers.remove(backend) {
             task.abort();
@@ -148,5 +152,5 @@
     }
 }
 
-/// The tasks that hear engines.
+/// The tasks that follow engines, by backend server.
 pub(super) type Followers = std::collections::HashMap<id::Backend, AbortHandle>;
--- a/src/gateway/errand.rs
+++ b/src/gateway/errand.rs
@@ -1,4 +1,5 @@
-//! What the reducer wants found out or fetched: each a task of its own, whose word comes back as an event.
+//! Calls that the reducer requests from the outside: each runs as a task of its own, and its result
+//! comes back as an event.
 
 use std::net::SocketAddr;
 
@@ -19,7 +20,8 @@
 };
 
 impl Core {
-    /// Fetches what another box knows of registered backend servers.
+    /// Fetches the list of registered backend servers that another box has, or its changes after
+    /// `since`.
     pub(super) fn fetch_roster(&self, peer: SocketAddr, since: Option<Revision>) {
         let Some(handle) = self.handle.clone() else {
             return;
@@ -47,7 +49,7 @@
         });
     }
 
-    /// Writes to the platform's store, where there is one.
+    /// Writes to the platform's store, if one is configured.
     pub(super) fn keep(&self, write: Write) {
         let Some(store) = self.parts.settings.stores.first() else {
             return;
@@ -55,7 +57,8 @@
         tokio::spawn(keep::write(*store, self.parts.pool.clone(), write));
     }
 
-    /// Writes to the store how a roll-out stands: beside our own configuration, or as the platform has it.
+    /// Writes the state of a roll-out to the store: with our own interface into the configuration
+    /// record, with the platform's under its status key.
     pub(super) fn settle(&self, service: id::Service, order: Order, standing: Standing) {
         if self.parts.settings.interface == Interface::Own {
             let Some(core) = self.handle.clone() else {
@@ -77,7 +80,7 @@
         tokio::spawn(keep::settle(*store, pool, service, order, standing));
     }
 
-    /// Finds out whether a backend server's process has ended.
+    /// Probes whether a backend server's process has ended, by whether its port is closed.
     pub(super) fn knock(&self, backend: id::Backend, address: SocketAddr) {
         let Some(handle) = self.handle.clone() else {
             return;
@@ -89,19 +92,20 @@
         });
     }
 
-    /// Asks an engine what it has cached; without an answer its parts count as unknown.
+    /// Asks an engine which parts of prompts it has cached; without an answer they count as
+    /// unknown.
     pub(super) fn ask_cached(&self, backend: id::Backend, address: SocketAddr) {
         let Some(handle) = self.handle.clone() else {
             return;
         };
         let pool = self.parts.pool.clone();
         tokio::spawn(async move {
-            match engine::cached(&pool, address).await {
+            match engine::cached_parts(&pool, address).await {
                 Ok(parts) => {
                     log::info!("cache: backend={backend} parts={}", parts.len());
                     handle.tell(Event::Cached { backend, parts });
                 }
-                Err(error) => log::warn!("cache: backend={backend} unknown: {error}"),
+                Err(error) => log::warn!("cache: backend={backend} cached parts unknown: {error}"),
             }
         });
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -1,4 +1,4 @@
-//! Brings the newest configuration to the reducer: from the store, or from another box.
+//! Delivers the newest configuration to the reducer, from the store or from another box.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,28 +24,28 @@
     settings::{Interface, Secret, Settings},
 };
 
-/// A watch that brought nothing for this long is checked by a read.
-const RECHECK: Duration = Duration::from_secs(10);
-/// Wait after a failure, before jitter.
+/// A watch without a change for this long is replaced by a new read and a new watch.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Wait after a failure, before it is varied by up to half.
 const BACKOFF: Duration = Duration::from_millis(1000);
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest packed content taken from another box, in bytes.
-const MAX_FETCHED: usize = 2 << 20;
+/// Largest compressed content accepted from another box, in bytes.
+const MAX_FETCHED_BYTES: usize = 2 << 20;
 
-/// Checks what `record` holds and tells `core`.
+/// Validates `record` and offers it to `core`, or reports it there as invalid.
 pub(crate) fn offer(core: &Handle, settings: &Settings, record: impl Into<Record>, source: Source) {
     let record = record.into();
     let version = record.envelope.version;
-    match checked(settings, record) {
+    match validate(settings, record) {
         Ok(current) => core.offer(current, source),
         Err(error) => {
-            log::error!("config: {version} does not check:\n{error:#}");
+            log::error!("config: {version} is invalid:\n{error:#}");
             core.unreadable(version);
         }
     }
 }
 
-fn checked(settings: &Settings, record: Record) -> eyre::Result<Current> {
+fn validate(settings: &Settings, record: Record) -> eyre::Result<Current> {
     let envelope = &record.envelope;
     let config = match settings.interface {
         Interface::Own => Config::parse(&format!("configuration {}", envelope.version), envelope)?,
@@ -58,20 +58,20 @@
     })
 }
 
-/// Watches the store while `duty` says so.
+/// Watches the store while `enabled` is true.
 pub(crate) async fn run(
     store: Store,
     core: Handle,
     settings: Arc<Settings>,
-    mut duty: watch::Receiver<bool>,
+    mut enabled: watch::Receiver<bool>,
 ) {
     loop {
-        if duty.wait_for(|on| *on).await.is_err() {
+        if enabled.wait_for(|on| *on).await.is_err() {
             return;
         }
         tokio::select! {
             error = watch_once(&store, &core, &settings) => log::warn!("store: {error:#}"),
-            off = duty.wait_for(|on| !*on) => match off {
+            off = enabled.wait_for(|on| !*on) => match off {
                 Ok(_) => continue,
                 Err(_) => return,
             },
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reads, then watches, until something fails.
+/// Reads and watches the store until a call fails; returns that error.
 async fn watch_once(store: &Store, core: &Handle, settings: &Settings) -> eyre::Report {
     loop {
         let stored = match store.read().await {
@@ -96,7 +96,7 @@
             Err(error) => return error,
         };
         loop {
-            match timeout(RECHECK, watch.next()).await {
+            match timeout(RECHECK_INTERVAL, watch.next()).await {
                 Err(_) => break,
                 Ok(Err(error)) => return error,
                 Ok(Ok(stored)) => {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Fetches what the box at `peer` tells others at `path`.
+/// Fetches the content that the box at `peer` serves to other boxes under `path`.
 pub(crate) async fn fetch<T: DeserializeOwned>(
     pool: &Arc<Pool>,
     peer: SocketAddr,
@@ -126,7 +126,7 @@
         if !response.status().is_success() {
             bail!("status {}", response.status());
         }
-        let body = Limited::new(response.into_body(), MAX_FETCHED)
+        let body = Limited::new(response.into_body(), MAX_FETCHED_BYTES)
             .collect()
             .await;
         let bytes = body.map_err(|e| eyre!("{e}"))?.to_bytes();
@@ -135,6 +135,6 @@
     };
     let fetched = timeout(FETCH_TIMEOUT, exchange).await;
     fetched
-        .unwrap_or_else(|_| Err(eyre!("no answer in time")))
+        .unwrap_or_else(|_| Err(eyre!("timed out")))
         .wrap_err_with(|| format!("cannot fetch {path} from {peer}"))
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,8 +1,9 @@
-//! Messages between boxes over nng: one PULL listener, one PUSH link an addressee.
+//! Messages between boxes over nng: one PULL listener, and one PUSH connection per addressee.
 //!
-//! A link holds few messages and drops what does not fit; a silent addressee never holds up the
-//! others. Links write nng's framing themselves: its own PUSH socket sends through freed memory where a
-//! peer closes while the connection is set up, and panics where that happens during the handshake.
+//! Each link has a short queue and drops messages that do not fit, so that a silent addressee never
+//! delays the others. Links implement nng's framing themselves: nng's own PUSH socket sends from
+//! freed memory if a peer closes while the connection is set up, and panics if that happens during
+//! the handshake.
 
 use std::{collections::HashMap, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,44 +23,47 @@
     wire::Frame,
 };
 
-/// Messages that wait for one addressee.
-const BACKLOG: usize = 16;
+/// Messages that may be queued for one addressee.
+const QUEUE_CAPACITY: usize = 16;
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
-/// A dial takes two round trips, 220 ms to another region. A box without power says nothing, and a
-/// lost opening packet is sent again only after a second: it is better to dial anew.
+/// Longest time for connecting and the handshake. They take two round trips, 220 ms to another
+/// region. A box without power does not answer, and a lost SYN packet is sent again only after a
+/// second, so dialling anew is faster.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Wait before the first further dial, and the longest: a seed that comes back is found soon.
+/// Wait before the first retry, and the longest wait; it is short so that a seed that comes back is
+/// found soon.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(400));
-/// Dials at the same time to addressees that answered the last one, or were not dialled yet: a box that
-/// meets a whole region does not open all connections at once.
-const FIRST_DIALS: usize = 4;
-/// Dials at the same time to addressees that did not answer the last one: most are dead and take all
-/// of [`DIAL_TIMEOUT`], and must not hold up the others.
-const FURTHER_DIALS: usize = 2;
-/// A link without a message for this long is taken down.
-const IDLE: Duration = Duration::from_secs(60);
-
-/// What each side of a connection says first: the protocol's mark, and the kind of its socket.
-const PUSHER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
-const PULLER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
-
-/// The listener for messages.
+/// Concurrent dials to addressees that answered the last dial or were not dialled yet: a box that
+/// joins a whole region must not open all connections at once.
+const MAX_FIRST_DIALS: usize = 4;
+/// Concurrent dials to addressees that did not answer the last dial. Most of them are dead and take
+/// all of [`DIAL_TIMEOUT`]; they must not delay the dials to the others.
+const MAX_RETRY_DIALS: usize = 2;
+/// A link without a message for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// The greetings that the two sides of a connection exchange first: the protocol's magic bytes and
+/// the type of the socket.
+const PUSH_GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
+const PULL_GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
+
+/// A bound listener for messages from other boxes.
 pub(crate) struct Listener {
     socket: Socket<pipeline0::Pull0>,
-    /// Where it listens.
+    /// The address that it is bound to.
     pub(crate) address: SocketAddr,
 }
 
-/// Binds `address`.
+/// Binds a listener to `address`.
 pub(crate) async fn bind(address: SocketAddr) -> eyre::Result<Listener> {
-    let socket = pipeline0::Pull0::socket().wrap_err("cannot make an nng socket")?;
+    let socket = pipeline0::Pull0::socket().wrap_err("cannot create an nng PULL socket")?;
     let bound = socket.listen_tcp(address, &TcpOptions::default()).await;
     let bound = bound.and_then(|listener| listener.local_addr());
     let address = bound.wrap_err_with(|| format!("cannot listen for gossip on {address}"))?;
     Ok(Listener { socket, address })
 }
 
-/// Tells `core` of every frame with a right signature.
+/// Receives messages and passes each frame with a valid signature to `core`.
 pub(crate) fn listen(listener: Listener, secret: Secret, core: Handle, metrics: Arc<Metrics>) {
     let mut socket = listener.socket;
     tokio::spawn(async move {
@@ -67,7 +71,7 @@
             let message = match socket.pull().await {
                 Ok(message) => message,
                 Err(error) => {
-                    log::warn!("gossip: receive: {error:?}");
+                    log::warn!("gossip: receive failed: {error:?}");
                     sleep(BACKOFF.0).await;
                     continue;
                 }
@@ -79,76 +83,77 @@
                 }
                 Err(error) => {
                     metrics.count_received("unreadable", message.len());
-                    log::debug!("gossip: dropped a message: {error}");
+                    log::debug!("gossip: discarded an invalid message: {error}");
                 }
             }
         }
     });
 }
 
-/// The dials that may be under way at the same time; the others wait for their turn.
-struct Dials {
+/// Limits on concurrent dials; further dials wait for a permit.
+struct DialLimits {
     first: Semaphore,
-    further: Semaphore,
+    retry: Semaphore,
 }
 
-impl Dials {
-    /// Dials `to`; `again` says that the last dial there failed.
-    async fn dial(&self, to: SocketAddr, again: bool) -> Option<TcpStream> {
-        let line = if again { &self.further } else { &self.first };
-        let _turn = line.acquire().await.ok()?;
-        match timeout(DIAL_TIMEOUT, greet(to)).await {
+impl DialLimits {
+    /// DialLimits `to`; `retry` is true if the last dial there failed.
+    async fn dial(&self, to: SocketAddr, retry: bool) -> Option<TcpStream> {
+        let limit = if retry { &self.retry } else { &self.first };
+        let _permit = limit.acquire().await.ok()?;
+        match timeout(DIAL_TIMEOUT, connect(to)).await {
             Ok(Ok(stream)) => Some(stream),
             Ok(Err(error)) => {
-                log::debug!("gossip: dial {to}: {error}");
+                log::debug!("gossip: dialling {to} failed: {error}");
                 None
             }
             Err(_) => {
-                log::debug!("gossip: dial {to}: no answer in time");
+                log::debug!("gossip: dialling {to} timed out");
                 None
             }
         }
     }
 }
 
-/// Connects to a puller.
-async fn greet(to: SocketAddr) -> io::Result<TcpStream> {
+/// Connects to a PULL socket and exchanges greetings with it.
+async fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(to).await?;
     tune(&stream)?;
-    stream.write_all(&PUSHER).await?;
-    let mut greeting = [0; PULLER.len()];
+    stream.write_all(&PUSH_GREETING).await?;
+    let mut greeting = [0; PULL_GREETING.len()];
     stream.read_exact(&mut greeting).await?;
-    match greeting == PULLER {
+    match greeting == PULL_GREETING {
         true => Ok(stream),
-        false => Err(io::Error::other("it does not pull")),
+        false => Err(io::Error::other("peer is not an nng PULL socket")),
     }
 }
 
-/// Writes one message: its length and its bytes.
+/// Writes one message: its length as 8 bytes, then its content.
 async fn push(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     let length = (bytes.len() as u64).to_be_bytes();
     stream.write_all(&[&length, bytes].concat()).await
 }
 
-/// Waits until the other side closes; a puller sends nothing.
-async fn closed(stream: &mut TcpStream) {
-    let mut bytes = [0; PULLER.len()];
+/// Waits until the other side closes the connection; a PULL socket sends nothing after its
+/// greeting.
+async fn wait_closed(stream: &mut TcpStream) {
+    let mut bytes = [0; PULL_GREETING.len()];
     while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
 }
 
-/// The outgoing links of one box.
+/// The outgoing links of this box, by address.
 pub(crate) struct Links {
     secret: Secret,
     metrics: Arc<Metrics>,
-    dials: Arc<Dials>,
+    dials: Arc<DialLimits>,
     open: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
 }
 
 impl Links {
     pub(crate) fn new(secret: Secret, metrics: Arc<Metrics>) -> Self {
-        let dials = Dials {
-            first: Semaphore::new(FIRST_DIALS),
-            further: Semaphore::new(FURTHER_DIALS),
+        let dials = DialLimits {
+            first: Semaphore::new(MAX_FIRST_DIALS),
+            retry: Semaphore::new(MAX_RETRY_DIALS),
         };
         Self {
             secret,
@@ -158,16 +163,17 @@
         }
     }
 
-    /// Sends `frame` to `to`, or drops it where the addressee is slow.
+    /// Queues `frame` for `to`, or drops it if the queue of that addressee is full.
     pub(crate) fn send(&mut self, to: SocketAddr, frame: &Frame) {
         let bytes = frame.encode(&self.secret);
         let (kind, size) = (frame.body.kind(), bytes.len());
         if self.open.get(&to).is_none_or(|link| link.is_closed()) {
-            // Only a new link looks at all others: each message would be the square of a region.
+            // Closed links are removed only when a link is created: a scan for each message would
+            // make the cost quadratic in the size of a region.
             self.open.retain(|_, link| !link.is_closed());
         }
         let link = self.open.entry(to).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(BACKLOG);
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             tokio::spawn(run(to, receiver, self.dials.clone()));
             sender
         });
@@ -178,12 +184,12 @@
     }
 }
 
-async fn run(to: SocketAddr, mut messages: mpsc::Receiver<Vec<u8>>, dials: Arc<Dials>) {
+async fn run(to: SocketAddr, mut messages: mpsc::Receiver<Vec<u8>>, dials: Arc<DialLimits>) {
     let mut backoff = BACKOFF.0;
-    let mut again = false;
+    let mut retry = false;
     loop {
-        let Some(mut stream) = dials.dial(to, again).await else {
-            again = true;
+        let Some(mut stream) = dials.dial(to, retry).await else {
+            retry = true;
             sleep(backoff).await;
             backoff = (backoff * 2).min(BACKOFF.1);
             if messages.is_closed() {
@@ -191,11 +197,11 @@
             }
             continue;
         };
-        (backoff, again) = (BACKOFF.0, false);
+        (backoff, retry) = (BACKOFF.0, false);
         loop {
             let next = tokio::select! {
-                next = timeout(IDLE, messages.recv()) => next,
-                () = closed(&mut stream) => break,
+                next = timeout(IDLE_TIMEOUT, messages.recv()) => next,
+                () = wait_closed(&mut stream) => break,
             };
             let Ok(Some(bytes)) = next else {
                 return;
@@ -205,7 +211,7 @@
                 break;
             }
         }
-        log::debug!("gossip: {to} does not read; dialling again");
+        log::debug!("gossip: connection to {to} closed or send failed; dialling again");
         sleep(backoff).await;
     }
 }
--- a/src/gateway/list.rs
+++ b/src/gateway/list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's lagging list of live and leaving boxes.
+//! Polls the platform's list of live and leaving boxes, which lags behind their real state.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,9 +19,9 @@
     reducer::event::Event,
 };
 
-const PERIOD: Duration = Duration::from_secs(1);
-const PATIENCE: Duration = Duration::from_secs(2);
-const MAX_LIST: usize = 1 << 20;
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_LIST_BYTES: usize = 1 << 20;
 const PATH: &str = "/v1/list";
 
 #[derive(Deserialize)]
@@ -42,26 +42,27 @@
     boxes: Vec<Row>,
 }
 
-/// Reads the list while this box has the duty; the others hear of it by heartbeat.
+/// Polls the list while `enabled` is true and reports the leaving boxes; the other boxes receive
+/// them by heartbeat.
 pub(crate) async fn run(
     address: SocketAddr,
     pool: Arc<Pool>,
     core: Handle,
-    mut duty: watch::Receiver<bool>,
+    mut enabled: watch::Receiver<bool>,
 ) {
     loop {
-        if !*duty.borrow_and_update() {
+        if !*enabled.borrow_and_update() {
             core.tell(Event::Listed(BTreeSet::new()));
-            if duty.wait_for(|on| *on).await.is_err() {
+            if enabled.wait_for(|on| *on).await.is_err() {
                 return;
             }
         }
-        match timeout(PATIENCE, read(address, &pool)).await {
+        match timeout(READ_TIMEOUT, read(address, &pool)).await {
             Ok(Ok(leaving)) => core.tell(Event::Listed(leaving)),
             Ok(Err(error)) => log::debug!("list: {error:#}"),
-            Err(_) => log::debug!("list: no answer in time"),
+            Err(_) => log::debug!("list: read timed out"),
         }
-        sleep(PERIOD).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -74,10 +75,12 @@
     if !response.status().is_success() {
         bail!("{address}: status {}", response.status());
     }
-    let body = Limited::new(response.into_body(), MAX_LIST).collect().await;
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
+        .collect()
+        .await;
     let bytes = body.map_err(|e| eyre!("{e}"))?.to_bytes();
     lease.give_back();
-    let list: List = serde_json::from_slice(&bytes).wrap_err("the list does not read")?;
+    let list: List = serde_json::from_slice(&bytes).wrap_err("cannot parse the list of boxes")?;
     let leaving = list
         .boxes
         .into_iter()
--- a/src/gateway/signs.rs
+++ b/src/gateway/signs.rs
@@ -1,6 +1,7 @@
-//! Signs of life of backend servers: what their streams bring, gathered for the failure detector.
+//! Liveness of backend servers as seen on their response streams, collected for the failure
+//! detector.
 //!
-//! A piece of a stream costs two writes to memory; the reducer hears once a tick.
+//! A received chunk costs two atomic writes; the reducer gets a summary once per tick.
 
 use std::{
     collections::HashMap,
@@ -18,70 +19,75 @@
     wire::Short,
 };
 
-/// What the streams of one backend server brought since the last look.
+/// The activity on all streams of one backend server since the last [`Signs::take`].
 #[derive(Debug, Default)]
-struct Sign {
-    heard: AtomicBool,
-    /// The longest pause of a stream, in milliseconds.
-    pause: AtomicU64,
+struct Activity {
+    active: AtomicBool,
+    /// The longest pause between two chunks of a stream, in milliseconds.
+    pause_ms: AtomicU64,
 }
 
-/// One stream's word on its backend server.
+/// Records the activity of one stream for its backend server.
 #[derive(Debug)]
 pub(crate) struct Pulse {
-    sign: Arc<Sign>,
-    last: Moment,
+    activity: Arc<Activity>,
+    last_received: Moment,
 }
 
 impl Pulse {
-    /// Notes that the answer begins at `now`: what came before was no pause.
+    /// Records that the answer begins at `now`; the time before it does not count as a pause.
     pub(crate) fn begin(&mut self, now: Moment) {
-        self.last = now;
-        self.sign.heard.store(true, Relaxed);
+        self.last_received = now;
+        self.activity.active.store(true, Relaxed);
     }
 
-    /// Notes a piece that comes at `now`.
+    /// Records a chunk received at `now`.
     pub(crate) fn note(&mut self, now: Moment) {
-        let pause = (now - self.last).as_millis() as u64;
-        self.last = now;
-        self.sign.pause.fetch_max(pause, Relaxed);
-        self.sign.heard.store(true, Relaxed);
+        let pause = (now - self.last_received).as_millis() as u64;
+        self.last_received = now;
+        self.activity.pause_ms.fetch_max(pause, Relaxed);
+        self.activity.active.store(true, Relaxed);
     }
 }
 
-/// The signs of all backend servers that have streams open.
+/// The activity of all backend servers that have open streams.
 #[derive(Debug, Default)]
-pub(crate) struct Signs(Mutex<HashMap<Short, Arc<Sign>>>);
+pub(crate) struct Signs(Mutex<HashMap<Short, Arc<Activity>>>);
 
 impl Signs {
-    fn lock(&self) -> MutexGuard<'_, HashMap<Short, Arc<Sign>>> {
-        // The map stays whole whatever a panicking holder did.
+    fn lock(&self) -> MutexGuard<'_, HashMap<Short, Arc<Activity>>> {
+        // Each change of the map is complete in itself, so it stays valid if a holder of the lock
+        // panics.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The pulse of a stream that begins at `target`; none for other boxes, which listen themselves.
+    /// Returns a recorder for a stream that begins at `target`; `None` for other boxes, which
+    /// observe their backend servers themselves.
     pub(crate) fn pulse(&self, target: &Target) -> Option<Pulse> {
         let Target::Backend { name, .. } = target else {
             return None;
         };
         let short = Short::of(id::Backend::as_str(name));
-        let sign = self.lock().entry(short).or_default().clone();
-        let last = Moment::now();
-        Some(Pulse { sign, last })
+        let activity = self.lock().entry(short).or_default().clone();
+        let last_received = Moment::now();
+        Some(Pulse {
+            activity,
+            last_received,
+        })
     }
 
-    /// What came since the last call.
+    /// Returns the activity since the last call and forgets backend servers without open streams.
     pub(crate) fn take(&self) -> Vec<event::Sign> {
-        let mut signs = self.lock();
+        let mut activities = self.lock();
         let mut heard = Vec::new();
-        signs.retain(|backend, sign| {
-            if sign.heard.swap(false, Relaxed) {
+        activities.retain(|backend, activity| {
+            if activity.active.swap(false, Relaxed) {
                 heard.push(event::Sign {
                     backend: *backend,
-                    pause: Millis(sign.pause.swap(0, Relaxed)),
+                    pause: Millis(activity.pause_ms.swap(0, Relaxed)),
                 });
             }
-            Arc::strong_count(sign) > 1
+            Arc::strong_count(activity) > 1
         });
         heard
     }
--- a/src/gateway/store.rs
+++ b/src/gateway/store.rs
@@ -20,28 +20,28 @@
 };
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer that is read: a value of a megabyte in base64, and its frame.
-const MAX_ANSWER: usize = 2 << 20;
+/// Largest answer that is read, in bytes: a value of 1 MB in base64, with its JSON envelope.
+const MAX_ANSWER_BYTES: usize = 2 << 20;
 
-/// The store's own count of changes to a key; zero where the key is absent.
+/// The store's modification revision of a key; zero if the key is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
-/// A value with its revision.
+/// A stored value with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stored {
-    /// When the key was last changed.
+    /// The revision of the key's last change.
     pub revision: Revision,
-    /// What it holds.
+    /// The record under the key; `None` if the key is absent.
     pub record: Option<Record>,
 }
 
-/// How a compare-and-swap ended.
+/// The result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The value was written.
     Done,
-    /// Somebody else was first.
+    /// The key had been changed since the expected revision; nothing was written.
     Lost,
 }
 
@@ -81,7 +81,7 @@
     kv: KeyValue,
 }
 
-fn stored(kv: Option<&KeyValue>) -> eyre::Result<Stored> {
+fn decode_stored(kv: Option<&KeyValue>) -> eyre::Result<Stored> {
     let Some(kv) = kv else {
         return Ok(Stored {
             revision: Revision(0),
@@ -91,18 +91,19 @@
     let revision = kv
         .mod_revision
         .parse()
-        .wrap_err("the store's revision does not read")?;
+        .wrap_err("the store returned an invalid revision")?;
     let bytes = BASE64
         .decode(&kv.value)
-        .wrap_err("the store's value is not base64")?;
-    let record = serde_json::from_slice(&bytes).wrap_err("the store's value does not read")?;
+        .wrap_err("the store's value is not valid base64")?;
+    let record = serde_json::from_slice(&bytes)
+        .wrap_err("the store's value is not a valid configuration record")?;
     Ok(Stored {
         revision: Revision(revision),
         record: Some(record),
     })
 }
 
-/// A client of the store for one key.
+/// A client of the store for a single key.
 #[derive(Clone)]
 pub struct Store {
     addresses: Vec<SocketAddr>,
@@ -112,7 +113,7 @@
 }
 
 impl Store {
-    /// A client for `key` at `addresses`, which are tried in order.
+    /// Creates a client for `key`; reads and watches try `addresses` in order.
     pub fn new(
         addresses: Vec<SocketAddr>,
         key: &str,
@@ -127,16 +128,16 @@
         }
     }
 
-    /// Reads the value.
+    /// Reads the key from the first address that answers.
     pub async fn read(&self) -> eyre::Result<Stored> {
-        let mut last = eyre!("no store address");
+        let mut last = eyre!("no store address configured");
         for &address in &self.addresses {
             let body = json!({ "key": self.key });
             match self.call(address, "range", "/v3/kv/range", &body).await {
                 Ok(bytes) => {
                     let answer: RangeAnswer = serde_json::from_slice(&bytes)
-                        .wrap_err("the store's answer does not read")?;
-                    return stored(answer.kvs.first());
+                        .wrap_err("cannot parse the store's answer")?;
+                    return decode_stored(answer.kvs.first());
                 }
                 Err(error) => last = error,
             }
@@ -144,15 +145,16 @@
         Err(last)
     }
 
-    /// Writes `record` if the value still has revision `expected`.
+    /// Writes `record` if the key still has revision `expected`.
     ///
-    /// An error leaves open whether it was written; the call goes to one address only.
+    /// It calls the first address only, without a retry: after an error the value may have been
+    /// written.
     pub async fn swap(&self, expected: Revision, record: &Record) -> eyre::Result<Swap> {
         let address = *self
             .addresses
             .first()
-            .ok_or_else(|| eyre!("no store address"))?;
-        let value = serde_json::to_vec(record).wrap_err("cannot write the configuration")?;
+            .ok_or_else(|| eyre!("no store address configured"))?;
+        let value = serde_json::to_vec(record).wrap_err("cannot serialize the configuration")?;
         let body = json!({
             "compare": [{
                 "key": self.key,
@@ -164,7 +166,7 @@
         });
         let bytes = self.call(address, "txn", "/v3/kv/txn", &body).await?;
         let answer: TxnAnswer =
-            serde_json::from_slice(&bytes).wrap_err("the store's answer does not read")?;
+            serde_json::from_slice(&bytes).wrap_err("cannot parse the store's answer")?;
         Ok(if answer.succeeded {
             Swap::Done
         } else {
@@ -180,7 +182,7 @@
         body: &Value,
     ) -> eyre::Result<Bytes> {
         let called = timeout(CALL_TIMEOUT, self.exchange(address, path, body)).await;
-        let result = called.unwrap_or_else(|_| Err(eyre!("store {address}: no answer in time")));
+        let result = called.unwrap_or_else(|_| Err(eyre!("store {address}: call timed out")));
         let outcome = if result.is_ok() { "ok" } else { "failed" };
         self.metrics.store.with_label_values(&[name, outcome]).inc();
         result
@@ -188,7 +190,7 @@
 
     async fn exchange(&self, address: SocketAddr, path: &str, body: &Value) -> eyre::Result<Bytes> {
         let (response, lease) = self.open(address, path, body).await?;
-        let body = Limited::new(response, MAX_ANSWER).collect().await;
+        let body = Limited::new(response, MAX_ANSWER_BYTES).collect().await;
         let bytes = body.map_err(|e| eyre!("store {address}: {e}"))?.to_bytes();
         lease.give_back();
         Ok(bytes)
@@ -212,9 +214,9 @@
         Ok((response.into_body(), lease))
     }
 
-    /// Opens a watch for changes after `revision`.
+    /// Opens a watch for changes after `revision`, at the first address that accepts it.
     pub async fn watch(&self, revision: Revision) -> eyre::Result<Watch> {
-        let mut last = eyre!("no store address");
+        let mut last = eyre!("no store address configured");
         for &address in &self.addresses {
             let body = json!({
                 "create_request": {
@@ -232,7 +234,7 @@
                     });
                 }
                 Ok(Err(error)) => last = error,
-                Err(_) => last = eyre!("store {address}: no watch in time"),
+                Err(_) => last = eyre!("store {address}: opening a watch timed out"),
             }
             self.metrics
                 .store
@@ -243,7 +245,7 @@
     }
 }
 
-/// An open watch.
+/// An open watch on the key.
 pub struct Watch {
     body: Incoming,
     _lease: Lease,
@@ -251,25 +253,25 @@
 }
 
 impl Watch {
-    /// The next change; an error ends the watch.
+    /// Waits for the next change; after an error the watch is unusable.
     pub async fn next(&mut self) -> eyre::Result<Stored> {
         loop {
             while let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 let line = self.buffer.split_to(end + 1);
                 let line: WatchLine =
-                    serde_json::from_slice(&line).wrap_err("the watch does not read")?;
+                    serde_json::from_slice(&line).wrap_err("cannot parse the watch event")?;
                 if let Some(event) = line.result.events.last() {
-                    return stored(Some(&event.kv));
+                    return decode_stored(Some(&event.kv));
                 }
             }
-            if self.buffer.len() > MAX_ANSWER {
-                bail!("the watch sent too long a line");
+            if self.buffer.len() > MAX_ANSWER_BYTES {
+                bail!("the store sent a watch line that is too long");
             }
             let frame = self
                 .body
                 .frame()
                 .await
-                .ok_or_else(|| eyre!("the watch ended"))??;
+                .ok_or_else(|| eyre!("the store closed the watch"))??;
             if let Ok(bytes) = frame.into_data() {
                 self.buffer.extend_from_slice(&bytes);
             }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -1,8 +1,9 @@
-//! Follows the platform's store: the operator's configuration, the registered backend servers and
-//! the failure domains under evacuation.
+//! Follows the platform's store: the operator's configuration, the registered backend servers,
+//! roll-out orders and the failure domains under evacuation.
 //!
-//! Where the reducer says so: a stale read of everything, then one watch over all of it, which the
-//! store holds until something changes. In large regions hubs follow it for the other boxes.
+//! Runs while the reducer asks for it: a stale read of the whole store, then one watch over all
+//! keys, which the store holds open until something changes. In large regions only hubs follow the
+//! store; they forward the changes to the other boxes.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -28,49 +29,52 @@
     unit::Millis,
 };
 
-/// The prefix of everything that is followed: the whole store, by one reading and one watch.
-const ALL: &str = "";
-/// How long the store holds a watch without news. A shorter time costs calls. A store that falls
-/// silent takes the watch with it: the box notices, and has the news, within 5 s of the store's
-/// return, which is when the bounds on news begin to count.
-const HOLD: Duration = Duration::from_secs(3);
-/// The same at a hub: others follow the store themselves soon after its word gets old.
-const HUB_HOLD: Duration = Duration::from_secs(1);
-/// How long a hub lets changes gather: a server's notice of its end must be everywhere within 3 s, and
-/// a dozen hubs ask the store 48 times a second at most.
-const HUB_GATHER: Duration = Duration::from_millis(250);
-/// The same after a failed call: a store that is still away must not hold up the next call.
-const PROBE_HOLD: Duration = Duration::from_millis(1);
-/// Wait after the first failure in a row, and the longest; each is spread by half.
+/// The prefix of all followed keys: one read and one watch cover the whole store.
+const ROOT_PREFIX: &str = "";
+/// How long the store holds a watch open when nothing changes. A shorter time costs more calls.
+/// When the store stops answering, the pending watch fails: this time and the backoff let the box
+/// detect the store's return and read the changes within 5 s of it, which is when the bounds on
+/// update delay begin to count.
+const WATCH_HOLD: Duration = Duration::from_secs(3);
+/// The same at a hub. It is shorter because other boxes follow the store themselves soon after a
+/// hub's last update gets old.
+const HUB_WATCH_HOLD: Duration = Duration::from_secs(1);
+/// How long a hub collects changes before the next watch. A server's notice of its end must reach
+/// all boxes within 3 s, and a dozen hubs call the store 48 times a second at most.
+const HUB_GATHER_DELAY: Duration = Duration::from_millis(250);
+/// The watch time after a failed call: a store that is still unreachable must not delay the next
+/// call.
+const RETRY_WATCH_HOLD: Duration = Duration::from_millis(1);
+/// Wait after the first of consecutive failures, and the longest wait, each varied by up to half.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(400));
 
-/// The follower's own state.
+/// The state of the task that follows the store.
 struct Follower {
     client: Client,
     core: Handle,
     settings: Arc<Settings>,
     metrics: Arc<Metrics>,
-    /// Where the watch goes on; none before everything was read.
+    /// The revision from which the watch continues; `None` until everything was read.
     revision: Option<Revision>,
     evacuated: BTreeSet<Domain>,
     rollouts: Rollouts,
-    /// The era of the last reading.
+    /// The store's era as of the last full read.
     era: Option<Era>,
-    /// When the store last failed, or came back: what vanishes soon after is in doubt.
-    disturbed: Option<Moment>,
+    /// When the store last failed or recovered: entries deleted soon after that are in doubt.
+    last_outage: Option<Moment>,
     failures: u32,
-    duty: Duty,
+    control: Duty,
 }
 
-/// What the reducer says of how the store is followed.
+/// The reducer's instructions on how to follow the store.
 pub(crate) struct Duty {
-    /// Boxes of the fleet, as far as this one knows.
+    /// The number of boxes in the fleet, as far as this box knows.
     pub(crate) boxes: watch::Receiver<usize>,
-    /// The way.
+    /// Whether to follow the store, and for whom.
     pub(crate) follow: watch::Receiver<Follow>,
 }
 
-/// Follows the store for as long as the process runs.
+/// Starts the task that follows the store for as long as the process runs.
 pub(crate) fn start(
     pool: &Arc<Pool>,
     core: &Handle,
@@ -79,7 +83,7 @@
     duty: Duty,
 ) {
     let Some(&address) = settings.stores.first() else {
-        return log::error!("store: no address");
+        return log::error!("store: no address configured");
     };
     let follower = Follower {
         client: Client::new(address, pool.clone()),
@@ -90,21 +94,21 @@
         evacuated: BTreeSet::new(),
         rollouts: Rollouts::new(),
         era: None,
-        disturbed: None,
+        last_outage: None,
         failures: 0,
-        duty,
+        control: duty,
     };
     tokio::spawn(run(follower));
 }
 
 async fn run(mut follower: Follower) {
-    let mut follow = follower.duty.follow.clone();
+    let mut follow = follower.control.follow.clone();
     let mut freshness = Freshness::Stale;
     while follow.wait_for(|f| *f != Follow::Rest).await.is_ok() {
         tokio::select! {
             () = follower.step(&mut freshness) => {}
             _ = follow.wait_for(|f| *f == Follow::Rest) => {
-                // What happens until it follows the store again is told by hubs.
+                // Hubs report the changes until this box follows the store again.
                 follower.revision = None;
                 freshness = Freshness::Stale;
             }
@@ -113,73 +117,79 @@
 }
 
 impl Follower {
-    /// One call, and what comes of it.
+    /// Makes one call to the store and handles its result.
     async fn step(&mut self, freshness: &mut Freshness) {
         let step = match self.revision {
             None => self.read(*freshness).await,
             Some(revision) => self.watch(revision).await,
         };
         match step {
-            Ok(()) => self.recovered(),
+            Ok(()) => self.on_success(),
             Err(error @ (Error::HistoryLost | Error::Restored)) => {
                 log::warn!("store: {error}; reading everything again.");
                 self.revision = None;
-                // A stale read may be older than the history.
+                // A stale read may be older than the history that the store still has.
                 *freshness = Freshness::Linearizable;
             }
-            Err(error) => self.failed(&error).await,
+            Err(error) => self.on_failure(&error).await,
         }
     }
 
     async fn read(&mut self, freshness: Freshness) -> Result<(), Error> {
-        let asked = Moment::now();
-        let read = self.client.range(ALL, freshness).await;
-        self.count("read", &read);
+        let started = Moment::now();
+        let read = self.client.range(ROOT_PREFIX, freshness).await;
+        self.count_call("read", &read);
         let (items, revision) = read?;
-        let took = asked.elapsed().as_secs_f64();
-        self.metrics.store_seconds.observe(took);
-        let before = self.era.replace(revision.era);
-        if before.is_some_and(|before| before != revision.era) {
-            self.disturbed = Some(Moment::now());
+        let seconds = started.elapsed().as_secs_f64();
+        self.metrics.store_seconds.observe(seconds);
+        let previous = self.era.replace(revision.era);
+        if previous.is_some_and(|previous| previous != revision.era) {
+            self.last_outage = Some(Moment::now());
         }
-        self.take_all(items, revision);
-        self.reached(revision);
+        self.apply_snapshot(items, revision);
+        self.report_synced(revision);
         Ok(())
     }
 
     async fn watch(&mut self, revision: Revision) -> Result<(), Error> {
-        let hub = *self.duty.follow.borrow() == Follow::Hub;
+        let hub = *self.control.follow.borrow() == Follow::Hub;
         let hold = match hub {
-            _ if self.failures > 0 => PROBE_HOLD,
-            true => HUB_HOLD,
-            false => HOLD,
+            _ if self.failures > 0 => RETRY_WATCH_HOLD,
+            true => HUB_WATCH_HOLD,
+            false => WATCH_HOLD,
         };
-        let watched = self.client.watch(ALL, revision, hold).await;
-        self.count("watch", &watched);
+        let watched = self.client.watch(ROOT_PREFIX, revision, hold).await;
+        self.count_call("watch", &watched);
         let (changes, as_of) = watched?;
-        let some = !changes.is_empty();
+        let changed = !changes.is_empty();
         for change in changes {
-            self.take(change);
+            self.apply_change(change);
         }
-        self.reached(as_of.max(revision));
-        if some {
-            let boxes = *self.duty.boxes.borrow();
-            let alone = fleet::gathering(boxes).duration();
-            sleep(if hub { HUB_GATHER.min(alone) } else { alone }).await;
+        self.report_synced(as_of.max(revision));
+        if changed {
+            let boxes = *self.control.boxes.borrow();
+            let delay = fleet::gathering(boxes).duration();
+            sleep(if hub {
+                HUB_GATHER_DELAY.min(delay)
+            } else {
+                delay
+            })
+            .await;
         }
         Ok(())
     }
 
-    /// Notes that everything up to `revision` is told.
-    fn reached(&mut self, revision: Revision) {
+    /// Records `revision` as the point up to which all changes were sent to the core, and reports
+    /// it there.
+    fn report_synced(&mut self, revision: Revision) {
         self.revision = Some(revision);
         self.core.tell(Event::Synced(revision));
     }
 
-    fn count<T>(&self, call: &str, result: &Result<T, Error>) {
+    fn count_call<T>(&self, call: &str, result: &Result<T, Error>) {
         let outcome = match result {
             Ok(_) => "ok",
-            Err(Error::Silent) => "silent",
+            Err(Error::NoAnswer) => "silent",
             Err(Error::Refused { .. }) => "refused",
             Err(Error::HistoryLost) => "history-lost",
             Err(Error::Restored) => "restored",
@@ -188,8 +198,8 @@
         self.metrics.store.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Takes over a full reading.
-    fn take_all(&mut self, items: Vec<Item>, revision: Revision) {
+    /// Applies the result of a full read.
+    fn apply_snapshot(&mut self, items: Vec<Item>, revision: Revision) {
         let mut backends = Vec::new();
         let mut evacuated = BTreeSet::new();
         let mut config = None;
@@ -200,21 +210,21 @@
                 Some(Name::Evacuation(domain)) => {
                     evacuated.insert(domain);
                 }
-                Some(Name::Server(name)) => backends.extend(self.backend(&name, &item.value)),
+                Some(Name::Server(name)) => backends.extend(self.parse_backend(&name, &item.value)),
                 Some(Name::Held(content)) => self.core.tell(Event::Kept(content)),
-                Some(Name::Rollout(service)) => self.note_order(service, Some(&item)),
-                Some(Name::RolloutStatus(service)) => self.note_status(service, Some(&item)),
+                Some(Name::Rollout(service)) => self.update_order(service, Some(&item)),
+                Some(Name::RolloutStatus(service)) => self.update_status(service, Some(&item)),
                 None => {}
             }
         }
         if let Some(value) = config {
-            self.configure(value);
+            self.offer_config(value);
         }
         self.evacuated = evacuated;
-        self.tell_evacuated(revision);
-        // Servers that were started for an order come after it.
-        self.tell_rollouts(revision);
-        let doubt = self.doubt();
+        self.send_evacuated(revision);
+        // The reducer must know a roll-out order before the servers that were started for it.
+        self.send_rollouts(revision);
+        let doubt = self.remaining_doubt();
         log::info!(
             "store: read everything: {} backend servers, {} evacuations, at {revision}.",
             backends.len(),
@@ -224,52 +234,57 @@
         self.core.tell(Event::Fleet { change, revision });
     }
 
-    fn take(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Put { item, revision } => match Name::parse(&item.key) {
-                Some(Name::Config) => self.configure(item.value),
-                Some(Name::Evacuation(domain)) => self.evacuate(domain, true, revision),
+                Some(Name::Config) => self.offer_config(item.value),
+                Some(Name::Evacuation(domain)) => self.set_evacuated(domain, true, revision),
                 Some(Name::Server(name)) => {
-                    let change = self.entry(name, &item.value);
+                    let change = self.server_change(name, &item.value);
                     self.core.tell(Event::Fleet { change, revision });
                 }
                 Some(Name::Held(content)) => self.core.tell(Event::Kept(content)),
                 Some(Name::Rollout(service)) => {
-                    self.note_order(service, Some(&item));
-                    self.tell_rollouts(revision);
+                    self.update_order(service, Some(&item));
+                    self.send_rollouts(revision);
                 }
                 Some(Name::RolloutStatus(service)) => {
-                    self.note_status(service, Some(&item));
-                    self.tell_rollouts(revision);
+                    self.update_status(service, Some(&item));
+                    self.send_rollouts(revision);
                 }
                 None => {}
             },
             Change::Deleted { key, revision } => match Name::parse(&key) {
-                Some(Name::Evacuation(domain)) => self.evacuate(domain, false, revision),
+                Some(Name::Evacuation(domain)) => self.set_evacuated(domain, false, revision),
                 Some(Name::Server(name)) => {
-                    let doubt = self.doubt();
-                    log::info!("store: backend server {name} vanished, in doubt for {doubt}.");
+                    let doubt = self.remaining_doubt();
+                    log::info!(
+                        "store: entry of backend server {name} was deleted; in doubt for {doubt}."
+                    );
                     let change = FleetChange::Gone { name, doubt };
                     self.core.tell(Event::Fleet { change, revision });
                 }
-                Some(Name::Config) => log::error!("store: the configuration was deleted."),
+                Some(Name::Config) => {
+                    log::error!("store: the operator's configuration was deleted; ignored.")
+                }
                 Some(Name::Rollout(service)) => {
-                    self.note_order(service, None);
-                    self.tell_rollouts(revision);
+                    self.update_order(service, None);
+                    self.send_rollouts(revision);
                 }
                 Some(Name::RolloutStatus(service)) => {
-                    self.note_status(service, None);
-                    self.tell_rollouts(revision);
+                    self.update_status(service, None);
+                    self.send_rollouts(revision);
                 }
-                // The boxes tell each other what is cleared; the rest runs out by itself.
+                // Boxes notify each other of cleared contents; other entries expire by themselves.
                 Some(Name::Held(_)) | None => {}
             },
         }
     }
 
-    /// What an entry that was written says: one that does not read names no server to use.
-    fn entry(&self, name: crate::id::Backend, value: &[u8]) -> FleetChange {
-        match self.backend(&name, value) {
+    /// Converts a written server entry into a change; an unreadable entry counts as a removed
+    /// server.
+    fn server_change(&self, name: crate::id::Backend, value: &[u8]) -> FleetChange {
+        match self.parse_backend(&name, value) {
             Some(backend) => {
                 let state = if backend.leaving { "leaving" } else { "in use" };
                 log::info!("store: backend server {name}: {state}.");
@@ -282,7 +297,7 @@
         }
     }
 
-    fn backend(&self, name: &crate::id::Backend, value: &[u8]) -> Option<Backend> {
+    fn parse_backend(&self, name: &crate::id::Backend, value: &[u8]) -> Option<Backend> {
         match record::server(name, value, &self.settings.places) {
             Ok(backend) => Some(backend),
             Err(error) => {
@@ -292,41 +307,42 @@
         }
     }
 
-    fn configure(&self, value: Vec<u8>) {
+    fn offer_config(&self, value: Vec<u8>) {
         match record::envelope(value) {
             Ok(envelope) => follow::offer(&self.core, &self.settings, envelope, Source::News),
             Err(error) => log::error!("store: {error:#}"),
         }
     }
 
-    fn evacuate(&mut self, domain: Domain, on: bool, revision: Revision) {
+    fn set_evacuated(&mut self, domain: Domain, on: bool, revision: Revision) {
         log::info!("store: failure domain {domain} is evacuated: {on}.");
         if on {
             self.evacuated.insert(domain);
         } else {
             self.evacuated.remove(&domain);
         }
-        self.tell_evacuated(revision);
+        self.send_evacuated(revision);
     }
 
-    fn tell_evacuated(&self, revision: Revision) {
+    fn send_evacuated(&self, revision: Revision) {
         let domains = self.evacuated.clone();
         self.core.tell(Event::Evacuated { domains, revision });
     }
 
-    /// Takes an order for a roll-out, or that there is none; one that does not read is none.
-    fn note_order(&mut self, service: Service, item: Option<&Item>) {
+    /// Records a service's roll-out order; a deleted or unreadable one counts as none.
+    fn update_order(&mut self, service: Service, item: Option<&Item>) {
         let order = item.and_then(|item| read_rollout(&service, item, rollout::order));
-        self.note_rollout(service, |entry| entry.order = order);
+        self.update_rollout(service, |entry| entry.order = order);
     }
 
-    /// Takes what was written of a roll-out.
-    fn note_status(&mut self, service: Service, item: Option<&Item>) {
+    /// Records the roll-out status that the boxes wrote; a deleted or unreadable one counts as
+    /// none.
+    fn update_status(&mut self, service: Service, item: Option<&Item>) {
         let written = item.and_then(|item| read_rollout(&service, item, rollout::written));
-        self.note_rollout(service, |entry| entry.written = written);
+        self.update_rollout(service, |entry| entry.written = written);
     }
 
-    fn note_rollout(&mut self, service: Service, change: impl FnOnce(&mut Entry)) {
+    fn update_rollout(&mut self, service: Service, change: impl FnOnce(&mut Entry)) {
         let mut entry = self.rollouts.remove(&service).unwrap_or_default();
         change(&mut entry);
         if entry.order.is_some() || entry.written.is_some() {
@@ -334,41 +350,46 @@
         }
     }
 
-    fn tell_rollouts(&self, revision: Revision) {
+    fn send_rollouts(&self, revision: Revision) {
         let rollouts = self.rollouts.clone();
         self.core.tell(Event::Rollouts { rollouts, revision });
     }
 
-    /// How long what vanishes now may be back: until a while after the store came back.
-    fn doubt(&self) -> Millis {
-        let elapsed = self.disturbed.map(|at| at.elapsed());
+    /// Returns for how long a server whose entry is deleted now stays in doubt: until
+    /// [`fleet::DOUBT`] after the store last failed or recovered, since live servers register again
+    /// in that time.
+    fn remaining_doubt(&self) -> Millis {
+        let elapsed = self.last_outage.map(|at| at.elapsed());
         let left = elapsed.map(|e| fleet::DOUBT.duration().saturating_sub(e));
         Millis(left.unwrap_or_default().as_millis() as u64)
     }
 
-    fn recovered(&mut self) {
+    fn on_success(&mut self) {
         if self.failures > 0 {
-            log::info!("store: back after {} failed calls.", self.failures);
+            log::info!(
+                "store: reachable again after {} failed calls.",
+                self.failures
+            );
             self.failures = 0;
             self.metrics.store_failures.set(0);
-            self.disturbed = Some(Moment::now());
+            self.last_outage = Some(Moment::now());
         }
     }
 
-    async fn failed(&mut self, error: &Error) {
+    async fn on_failure(&mut self, error: &Error) {
         if self.failures == 0 {
-            log::warn!("store: lost: {error}.");
+            log::warn!("store: call failed, retrying: {error}.");
         }
         self.failures += 1;
         self.metrics.store_failures.set(i64::from(self.failures));
-        self.disturbed = Some(Moment::now());
+        self.last_outage = Some(Moment::now());
         let doublings = self.failures.saturating_sub(1).min(8);
         let wait = (BACKOFF.0 * (1 << doublings)).min(BACKOFF.1);
         sleep(wait.mul_f64(rand::random_range(0.5..1.5))).await;
     }
 }
 
-/// What an item says of a service's roll-out; nothing, and a line in the log, where it does not read.
+/// Parses an item of a service's roll-out; logs an error and returns `None` if it is unreadable.
 fn read_rollout<T>(
     service: &Service,
     item: &Item,
