--- a/src/cmd/call.rs
+++ b/src/cmd/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the administration listener of a box.
+//! HTTP client for the administration listener of a box.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,28 +9,28 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, time::timeout};
 
-const TIMEOUT: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Where a box's administration listener is, and the token it wants.
+/// The address of a box's administration listener and the bearer token for it.
 #[derive(Clone, Debug, clap::Args)]
 pub(super) struct Admin {
-    /// The administration listener of a box.
+    /// Address of a box's administration listener.
     #[arg(long, value_name = "IP:PORT", env = "PETRELDRUM_ADMIN")]
     admin: SocketAddr,
-    /// The bearer token for it.
+    /// Bearer token for the administration listener.
     #[arg(long, env = "PETRELDRUM_TOKEN", hide_env_values = true)]
     token: String,
 }
 
-/// An answer.
+/// The status and whole body of a response.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) body: Bytes,
 }
 
 impl Answer {
-    /// The body, where the box said yes.
-    pub(super) fn good(self) -> eyre::Result<Bytes> {
+    /// Returns the body of a successful response; any other status becomes an error.
+    pub(super) fn into_success(self) -> eyre::Result<Bytes> {
         if self.status.is_success() {
             return Ok(self.body);
         }
@@ -40,7 +40,7 @@
 }
 
 impl Admin {
-    /// Calls the box and waits for its answer.
+    /// Sends one request to the box and waits for its response.
     pub(super) fn call(
         &self,
         method: Method,
@@ -58,17 +58,17 @@
         }
         let request = request
             .body(Full::new(body.into()))
-            .wrap_err("a header does not read")?;
+            .wrap_err("invalid request header")?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .wrap_err("cannot start the runtime")?;
         let answer = runtime.block_on(async {
-            // The timer needs the runtime around it.
-            timeout(TIMEOUT, exchange(self.admin, request)).await
+            // The timer must be created inside the runtime.
+            timeout(CALL_TIMEOUT, exchange(self.admin, request)).await
         });
         answer
-            .unwrap_or_else(|_| Err(eyre!("no answer in time")))
+            .unwrap_or_else(|_| Err(eyre!("no response within {CALL_TIMEOUT:?}")))
             .wrap_err_with(|| format!("box at {}", self.admin))
     }
 }
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -1,10 +1,10 @@
-//! `petreldrum completions`: shell completion.
+//! `petreldrum completions`: prints shell completion scripts.
 
 use std::process::ExitCode;
 
 use clap::CommandFactory;
 
-/// Print the completion script of a shell.
+/// Print the completion script for a shell.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
     shell: clap_complete::Shell,
--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -25,33 +25,33 @@
 
 #[derive(Debug, Subcommand)]
 enum Task {
-    /// Check a file without any box; every fault is told at once. Exits 2 if there is one.
+    /// Check a file without contacting a box and report every fault. Exits 2 if there are any.
     Check {
-        /// The configuration (INI).
+        /// Configuration file (INI).
         file: PathBuf,
     },
-    /// Print the configuration; its version and author go to standard error.
+    /// Print the configuration in force, with its version and author on standard error.
     Get {
         #[command(flatten)]
         admin: Admin,
     },
-    /// Show what a file would change. Exits 1 if there is a difference.
+    /// Show what a file would change. Exits 1 if there are differences.
     Diff {
         #[command(flatten)]
         admin: Admin,
-        /// The configuration (INI).
+        /// Configuration file (INI).
         file: PathBuf,
     },
-    /// Change the configuration. Exits 1 on a conflict, 2 on faults, 3 if the outcome is unknown.
+    /// Replace the configuration. Exits 1 on a conflict, 2 on faults, 3 if the outcome is unknown.
     Put {
         #[command(flatten)]
         admin: Admin,
-        /// The configuration (INI).
+        /// Configuration file (INI).
         file: PathBuf,
-        /// The version the change is based on, as `config get` told it; v0 for the first.
+        /// Version that the change is based on, as printed by `config get`; v0 for the first.
         #[arg(long, value_name = "VERSION")]
         base: Version,
-        /// Who makes the change.
+        /// Author of the change.
         #[arg(long, env = "USER")]
         author: String,
     },
@@ -96,8 +96,10 @@
 }
 
 fn fetch(admin: &Admin) -> eyre::Result<Envelope> {
-    let body = admin.call(Method::GET, "/config", &[], "")?.good()?;
-    serde_json::from_slice(&body).wrap_err("the box's answer does not read")
+    let body = admin
+        .call(Method::GET, "/config", &[], "")?
+        .into_success()?;
+    serde_json::from_slice(&body).wrap_err("cannot parse the box's response")
 }
 
 fn get(admin: &Admin) -> eyre::Result<ExitCode> {
@@ -107,18 +109,18 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints the lines that only one side has, in the order of their files.
+/// Prints a unified diff from the configuration in force to `file`.
 fn diff(admin: &Admin, file: &Path) -> eyre::Result<ExitCode> {
     let envelope = fetch(admin)?;
     let new = read(file)?;
-    let text = similar::TextDiff::from_lines(&envelope.text, &new);
-    let mut lines = text.unified_diff();
+    let text_diff = similar::TextDiff::from_lines(&envelope.text, &new);
+    let mut unified = text_diff.unified_diff();
     let name = file.display().to_string();
-    let shown = lines
+    let rendered = unified
         .header(&envelope.version.to_string(), &name)
         .to_string();
-    print!("{shown}");
-    let code = if shown.is_empty() { 0 } else { REFUSED };
+    print!("{rendered}");
+    let code = if rendered.is_empty() { 0 } else { REFUSED };
     Ok(ExitCode::from(code))
 }
 
@@ -126,20 +128,23 @@
     let headers = [(IF_MATCH, base.to_string()), (AUTHOR, author)];
     let answer = admin.call(Method::PUT, "/config", &headers, read(file)?)?;
     let Ok(change) = serde_json::from_slice(&answer.body) else {
-        answer.good()?;
-        eyre::bail!("the box's answer does not read");
+        answer.into_success()?;
+        eyre::bail!("cannot parse the box's response");
     };
-    Ok(ExitCode::from(tell(change, file)))
+    Ok(ExitCode::from(print_outcome(change, file)))
 }
 
-fn tell(change: Change, file: &Path) -> u8 {
+/// Prints the outcome of a change and returns the exit code for it.
+fn print_outcome(change: Change, file: &Path) -> u8 {
     match change {
         Change::Accepted { version } => {
             println!("accepted as {version}");
             0
         }
         Change::Conflict { version, author } => {
-            eprintln!("conflict: {version} by {author} stands; get it, merge, put again");
+            eprintln!(
+                "conflict: {version} by {author} stands; run `config get`, merge and put again"
+            );
             REFUSED
         }
         Change::Invalid { faults } => {
@@ -149,9 +154,7 @@
             INVALID
         }
         Change::Unknown { write } => {
-            eprintln!(
-                "unknown: the store did not say whether write {write} took effect; get will tell"
-            );
+            eprintln!("unknown: the store did not confirm write {write}; check with `config get`");
             UNKNOWN
         }
         Change::Unavailable { reason } => {
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `petreldrum explain`: where a request would go, and why, without sending it.
+//! `petreldrum explain`: shows how a request would be routed, without sending it.
 
 use std::process::ExitCode;
 
@@ -7,18 +7,18 @@
 
 use crate::{cmd::call::Admin, gateway::admin::Question, id};
 
-/// Show where a request would go now and why; nothing is sent to any backend server.
+/// Show where a request would be sent now and why, without sending anything to a backend server.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
     #[command(flatten)]
     admin: Admin,
-    /// The customer's name in the configuration.
+    /// Name of the customer in the configuration.
     #[arg(long, alias = "caller")]
     customer: id::Customer,
-    /// The request's path.
+    /// Path of the request.
     #[arg(long)]
     path: String,
-    /// The model, for a model route.
+    /// Model that the request names; needed for a model route.
     #[arg(long)]
     model: Option<id::Service>,
 }
@@ -33,9 +33,9 @@
     let answer = args
         .admin
         .call(Method::POST, "/explain", &[], body)?
-        .good()?;
+        .into_success()?;
     let explanation: serde_json::Value =
-        serde_json::from_slice(&answer).wrap_err("the box's answer does not read")?;
+        serde_json::from_slice(&answer).wrap_err("cannot parse the box's response")?;
     println!("{}", serde_json::to_string_pretty(&explanation)?);
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `petreldrum gateway`: runs a box.
+//! `petreldrum gateway`: runs the gateway on a box.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -14,18 +14,19 @@
     settings::Settings,
 };
 
-/// Run a box until SIGTERM or SIGINT; both begin a planned stop that cuts nothing off.
+/// Run the gateway until SIGTERM or SIGINT; both start a planned stop that completes the requests
+/// in flight.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The box's settings (INI).
+    /// Settings file of the box (INI).
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// Check the settings and exit: 0 if they are good, 2 if not.
+    /// Check the settings and exit: 0 if they are valid, 2 if not.
     #[arg(long)]
     check: bool,
 }
 
-/// Starts logging to standard output.
+/// Starts logging to standard output and returns the writer, so that it can be flushed.
 fn start_log(level: log::LevelFilter) -> eyre::Result<Lines> {
     let lines = Lines::start(std::io::stdout()).wrap_err("cannot start the log")?;
     let config = ConfigBuilder::new()
@@ -34,7 +35,7 @@
         .set_thread_level(log::LevelFilter::Off)
         .add_filter_allow_str("petreldrum")
         .build();
-    // A second logger in one process is not an error.
+    // Fails only if this process already has a logger, which is harmless.
     let _ = WriteLogger::init(level, config, lines.clone());
     Ok(lines)
 }
@@ -46,54 +47,59 @@
         return Ok(ExitCode::SUCCESS);
     }
     let lines = start_log(settings.log)?;
-    // Boxes are small: one thread spares the hand-over between threads.
+    // Boxes have little CPU: a single thread avoids the cost of passing work between threads.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .max_blocking_threads(BLOCKING_THREADS)
-        .thread_keep_alive(BLOCKING_IDLE)
+        .max_blocking_threads(MAX_BLOCKING_THREADS)
+        .thread_keep_alive(BLOCKING_THREAD_KEEP_ALIVE)
         .build()
         .wrap_err("cannot start the runtime")?;
-    let served = runtime.block_on(serve(settings, args.settings));
+    let result = runtime.block_on(serve(settings, args.settings));
     lines.flush_all();
-    served?;
+    result?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Threads for calls that block: dials between boxes, which are bounded themselves, and the trace's end.
-const BLOCKING_THREADS: usize = 8;
-/// How long such a thread is kept without work.
-const BLOCKING_IDLE: Duration = Duration::from_secs(1);
+/// Limit on threads for blocking calls, such as the shutdown of the tracer. Connecting to other
+/// boxes has a limit of its own.
+const MAX_BLOCKING_THREADS: usize = 8;
+/// Time after which an idle thread for blocking calls ends.
+const BLOCKING_THREAD_KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// How often the settings are looked at without a signal.
-const RECHECK: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is checked for changes without SIGHUP.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reads the settings again on SIGHUP, and now and then without one.
-async fn follow_settings(path: PathBuf, mut reloader: Reloader, mut hangup: Signal) {
+/// Reloads the settings on SIGHUP, and at each poll interval if they have changed.
+async fn watch_settings(path: PathBuf, mut reloader: Reloader, mut sighup: Signal) {
     loop {
         let signalled = tokio::select! {
-            _ = hangup.recv() => true,
-            () = sleep(RECHECK) => false,
+            _ = sighup.recv() => true,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
         match Settings::load(&path) {
             Ok(settings) if signalled || reloader.is_news(&settings) => reloader.reload(settings),
             Ok(_) => {}
-            Err(error) => log::error!("settings: kept as they are: {error:#}"),
+            Err(error) => {
+                log::error!("settings: reload failed, current ones stay in use: {error:#}")
+            }
         }
     }
 }
 
 async fn serve(settings: Settings, path: PathBuf) -> eyre::Result<()> {
-    let mut term = signal(SignalKind::terminate()).wrap_err("cannot watch for SIGTERM")?;
-    let mut int = signal(SignalKind::interrupt()).wrap_err("cannot watch for SIGINT")?;
-    let hangup = signal(SignalKind::hangup()).wrap_err("cannot watch for SIGHUP")?;
+    let mut sigterm =
+        signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
+    let mut sigint =
+        signal(SignalKind::interrupt()).wrap_err("cannot install the SIGINT handler")?;
+    let sighup = signal(SignalKind::hangup()).wrap_err("cannot install the SIGHUP handler")?;
     let gateway = Gateway::start(settings).await?;
     println!("{}", gateway.bound());
-    tokio::spawn(follow_settings(path, gateway.reloader(), hangup));
+    tokio::spawn(watch_settings(path, gateway.reloader(), sighup));
     let stopper = gateway.stopper();
     tokio::spawn(async move {
         tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
+            _ = sigterm.recv() => {}
+            _ = sigint.recv() => {}
         }
         stopper.stop();
     });
--- a/src/cmd/hash.rs
+++ b/src/cmd/hash.rs
@@ -1,4 +1,4 @@
-//! `petreldrum hash-key`: the form in which the configuration holds an API key.
+//! `petreldrum hash-key`: hashes an API key for the configuration.
 
 use std::{io::Read as _, process::ExitCode};
 
@@ -17,7 +17,7 @@
         .wrap_err("cannot read standard input")?;
     let key = key.trim_end_matches(['\r', '\n']);
     if key.is_empty() {
-        bail!("the key is empty");
+        bail!("the API key on standard input is empty");
     }
     println!("{}", KeyHash::of(key.as_bytes()));
     Ok(ExitCode::SUCCESS)
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -17,17 +17,17 @@
 
 use crate::ini::Faults;
 
-/// Exit code for a conflict or an answer that is not yes.
+/// Exit code for a conflict, a refusal or any other failure.
 pub const REFUSED: u8 = 1;
-/// Exit code for wrong settings, configuration or arguments.
+/// Exit code for invalid settings, configuration or arguments.
 pub const INVALID: u8 = 2;
-/// Exit code where the outcome is not known.
+/// Exit code for a write whose outcome is unknown.
 pub const UNKNOWN: u8 = 3;
 
 /// A multi-region inference gateway.
 ///
-/// Run `petreldrum gateway` on each entry box. The other commands speak to the administration
-/// listener of any one box.
+/// Run `petreldrum gateway` on each entry box. Most other commands connect to the administration
+/// listener of one box; any box will do.
 #[derive(Debug, Parser)]
 #[command(name = "petreldrum", version, propagate_version = true)]
 pub struct Command {
@@ -50,7 +50,7 @@
 }
 
 impl Command {
-    /// Runs the command and tells how it ended.
+    /// Runs the command and returns its exit code; an error is printed on standard error.
     pub fn run(self) -> ExitCode {
         let result = match self.task {
             Task::Gateway(args) => gateway::run(args),
--- a/src/cmd/pardon.rs
+++ b/src/cmd/pardon.rs
@@ -1,4 +1,4 @@
-//! `petreldrum pardon`: lets a content run again that is held back.
+//! `petreldrum pardon`: releases held-back request content.
 
 use std::process::ExitCode;
 
@@ -6,12 +6,12 @@
 
 use crate::{cmd::call::Admin, content::Fingerprint};
 
-/// Let a content run again that all boxes hold back, because backend servers ended under it.
+/// Release request content that all boxes hold back because backend servers ended while running it.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
     #[command(flatten)]
     admin: Admin,
-    /// Its fingerprint, as `petreldrum status` and the log tell it.
+    /// Fingerprint of the content, as shown by `petreldrum status` and the log.
     content: Fingerprint,
 }
 
@@ -20,7 +20,7 @@
     let body = args
         .admin
         .call(Method::POST, "/pardon", &[], content)?
-        .good()?;
+        .into_success()?;
     print!("{}", String::from_utf8_lossy(&body));
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,4 +1,5 @@
-//! `petreldrum rollout`: orders for roll-outs of releases, and how they stand, as one box sees them.
+//! `petreldrum rollout`: orders and withdraws roll-outs of releases, and shows their progress as
+//! seen by one box.
 
 use std::process::ExitCode;
 
@@ -22,7 +23,7 @@
     unit::Millis,
 };
 
-/// Give an order for a roll-out, take it back, or show how roll-outs stand.
+/// Order a roll-out, withdraw the order, or show the progress of roll-outs.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
     #[command(subcommand)]
@@ -31,36 +32,38 @@
 
 #[derive(Debug, Subcommand)]
 enum Task {
-    /// Order that a service's traffic move to a release. Exits 1 if that is refused, 3 if the outcome is unknown.
+    /// Order that a service's traffic move to a release. Exits 1 if the order is refused, 3 if the
+    /// outcome is unknown.
     Start {
         #[command(flatten)]
         admin: Admin,
-        /// The service.
+        /// Name of the service.
         service: Service,
-        /// The release that is to serve.
+        /// Release to move the traffic to.
         release: Release,
-        /// The time after which it should; the release is watched meanwhile.
+        /// Time by which the release is to serve all traffic; its answers are checked meanwhile.
         #[arg(long, value_name = "TIME")]
         within: Millis,
-        /// Who gives the order.
+        /// Author of the order.
         #[arg(long, env = "USER")]
         author: String,
     },
-    /// Take an order back: its release gets nothing while others serve.
+    /// Withdraw an order: its release gets no requests as long as other releases serve.
     Stop {
         #[command(flatten)]
         admin: Admin,
-        /// The service.
+        /// Name of the service.
         service: Service,
-        /// Who takes it back.
+        /// Author of the withdrawal.
         #[arg(long, env = "USER")]
         author: String,
     },
-    /// Show how far each has come, what the releases answered, and what speaks against the new one.
+    /// Show the progress of each roll-out, counts of bad answers per release, and the strongest
+    /// evidence against the new release.
     Show {
         #[command(flatten)]
         admin: Admin,
-        /// Only that of this service; without it the command ends with 1.
+        /// Show only the roll-out of this service. Exits 1 if there is none.
         service: Option<Service>,
         /// Print JSON.
         #[arg(long)]
@@ -77,18 +80,18 @@
             within,
             author,
         } => {
-            let ask = Ask {
+            let request = Ask {
                 service,
                 release,
                 within,
             };
-            order(&admin, Method::POST, author, serde_json::to_vec(&ask)?)
+            send_order(&admin, Method::POST, author, serde_json::to_vec(&request)?)
         }
         Task::Stop {
             admin,
             service,
             author,
-        } => order(&admin, Method::DELETE, author, service.to_string()),
+        } => send_order(&admin, Method::DELETE, author, service.to_string()),
         Task::Show {
             admin,
             service,
@@ -97,7 +100,8 @@
     }
 }
 
-fn order(
+/// Sends an order or a withdrawal, prints the outcome and returns the exit code for it.
+fn send_order(
     admin: &Admin,
     method: Method,
     author: String,
@@ -105,8 +109,8 @@
 ) -> eyre::Result<ExitCode> {
     let answer = admin.call(method, ROLLOUT_PATH, &[(AUTHOR, author)], body)?;
     let Ok(outcome) = serde_json::from_slice(&answer.body) else {
-        answer.good()?;
-        eyre::bail!("the box's answer does not read");
+        answer.into_success()?;
+        eyre::bail!("cannot parse the box's response");
     };
     Ok(ExitCode::from(match outcome {
         Outcome::Accepted { version } => {
@@ -118,7 +122,7 @@
             super::REFUSED
         }
         Outcome::Unknown => {
-            eprintln!("unknown: the store did not say whether it was written; show will tell");
+            eprintln!("unknown: the store did not confirm the write; check with `rollout show`");
             super::UNKNOWN
         }
         Outcome::Unavailable { reason } => {
@@ -129,11 +133,13 @@
 }
 
 fn show(admin: &Admin, service: Option<Service>, json: bool) -> eyre::Result<ExitCode> {
-    let body = admin.call(Method::GET, "/status", &[], "")?.good()?;
+    let body = admin
+        .call(Method::GET, "/status", &[], "")?
+        .into_success()?;
     let status: Status =
-        serde_json::from_slice(&body).wrap_err("the box's answer does not read")?;
-    let asked = |row: &Rollout| service.as_ref().is_none_or(|s| *s == row.service);
-    let rows: Vec<Rollout> = status.rollouts.into_iter().filter(asked).collect();
+        serde_json::from_slice(&body).wrap_err("cannot parse the box's response")?;
+    let is_selected = |row: &Rollout| service.as_ref().is_none_or(|s| *s == row.service);
+    let rows: Vec<Rollout> = status.rollouts.into_iter().filter(is_selected).collect();
     if json {
         println!("{}", serde_json::to_string(&rows)?);
     } else {
@@ -146,12 +152,12 @@
 fn print(row: &Rollout) {
     let release = row.release.as_ref();
     let release = release.map_or("no release".to_owned(), ToString::to_string);
-    let standing = row.standing.map_or("not begun", Standing::name);
+    let state = row.standing.map_or("not begun", Standing::name);
     let within = match row.within {
         Some(within) => format!("ordered {} ago, due within {within}", row.age),
         None => "the order was withdrawn".to_owned(),
     };
-    println!("{} to {release}: {standing}, {within}", row.service);
+    println!("{} to {release}: {state}, {within}", row.service);
     let traffic = match () {
         () if row.held => "the new release gets nothing",
         () if row.moved => "the new release gets all that it can take",
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `petreldrum status` and `petreldrum drain`: what a box sees, and its planned stop.
+//! `petreldrum status` and `petreldrum drain`: show the state of a box and start its planned stop.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,8 @@
     reducer::status::{Limit, Status},
 };
 
-/// Show a box's view: boxes and versions in force, regions, backend servers and why each is used.
+/// Show the state of the system as seen by a box: boxes and their configuration versions, regions,
+/// customers, and backend servers with the reason why each is used or not.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
     #[command(flatten)]
@@ -20,7 +21,7 @@
     json: bool,
 }
 
-/// Begin the planned stop of a box: new callers go elsewhere, requests in flight end.
+/// Start the planned stop of a box: new callers are sent elsewhere, requests in flight complete.
 #[derive(Debug, clap::Args)]
 pub(super) struct DrainArgs {
     #[command(flatten)]
@@ -28,12 +29,15 @@
 }
 
 pub(super) fn run(args: Args) -> eyre::Result<ExitCode> {
-    let body = args.admin.call(Method::GET, "/status", &[], "")?.good()?;
+    let body = args
+        .admin
+        .call(Method::GET, "/status", &[], "")?
+        .into_success()?;
     if args.json {
         println!("{}", String::from_utf8_lossy(&body));
         return Ok(ExitCode::SUCCESS);
     }
-    let status = serde_json::from_slice(&body).wrap_err("the box's answer does not read")?;
+    let status = serde_json::from_slice(&body).wrap_err("cannot parse the box's response")?;
     print(&status);
     Ok(ExitCode::SUCCESS)
 }
@@ -56,7 +60,7 @@
         status.requests, status.waiting, status.keys
     );
     if let Some(weight) = status.weight {
-        println!("weight {weight}{}", full(status.full));
+        println!("weight {weight}{}", full_suffix(status.full));
     }
     for peer in &status.boxes {
         let lag = if peer.version < status.version {
@@ -72,7 +76,7 @@
             peer.phase,
             peer.weight.map_or("-".to_owned(), |w| w.to_string()),
             peer.busy,
-            full(peer.full),
+            full_suffix(peer.full),
             peer.silent
         );
     }
@@ -126,12 +130,12 @@
             backend.busy,
             backend.slots,
             backend.first,
-            backend.limit.as_ref().map(limit).unwrap_or_default()
+            backend.limit.as_ref().map(format_limit).unwrap_or_default()
         );
     }
 }
 
-fn limit(limit: &Limit) -> String {
+fn format_limit(limit: &Limit) -> String {
     let teller = limit.teller.as_ref();
     let teller = teller.map_or("itself".to_owned(), ToString::to_string);
     format!(
@@ -141,11 +145,14 @@
 }
 
 pub(super) fn drain(args: DrainArgs) -> eyre::Result<ExitCode> {
-    let body = args.admin.call(Method::POST, "/drain", &[], "")?.good()?;
+    let body = args
+        .admin
+        .call(Method::POST, "/drain", &[], "")?
+        .into_success()?;
     print!("{}", String::from_utf8_lossy(&body));
     Ok(ExitCode::SUCCESS)
 }
 
-fn full(full: bool) -> &'static str {
+fn full_suffix(full: bool) -> &'static str {
     if full { ", full" } else { "" }
 }
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! `petreldrum trace`: a request's story out of the boxes' logs.
+//! `petreldrum trace`: collects the log lines of one request from the logs of several boxes.
 
 use std::{
     fs::File,
@@ -11,15 +11,16 @@
 
 use crate::{cmd::REFUSED, story::Story};
 
-/// Print every line of a request out of the boxes' logs, in order of time.
+/// Print the log lines of a request from the logs of several boxes, ordered by time.
 ///
-/// Lines that are cut or mixed are counted on standard error. Exits with 1 where no line bears the id.
+/// Reports the number of truncated or interleaved lines on standard error. Exits 1 if no line has
+/// the request id.
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The caller's id of the request.
+    /// Request id that the caller sent.
     #[arg(long)]
     id: String,
-    /// Logs of boxes; `-` is standard input.
+    /// Log files of boxes; `-` reads standard input.
     #[arg(required = true, value_name = "FILE")]
     logs: Vec<PathBuf>,
 }
@@ -33,24 +34,24 @@
 }
 
 pub(super) fn run(args: Args) -> eyre::Result<ExitCode> {
-    let mut story = Story::default();
+    let mut trace = Story::default();
     for path in &args.logs {
         let name = path.file_stem().unwrap_or(path.as_os_str());
         let mut input = open(path)?;
-        story
+        trace
             .read(&name.to_string_lossy(), &mut input, &args.id)
             .wrap_err_with(|| format!("cannot read {}", path.display()))?;
     }
-    if story.bad() > 0 {
-        eprintln!("petreldrum: {} lines do not read", story.bad());
+    if trace.bad() > 0 {
+        eprintln!("petreldrum: {} lines could not be parsed", trace.bad());
     }
-    let lines = story.into_lines();
+    let lines = trace.into_lines();
     for line in &lines {
-        let from = match line.prefix.is_empty() {
+        let source = match line.prefix.is_empty() {
             true => &line.log,
             false => &line.prefix,
         };
-        println!("{} {from} {}", line.time, line.text);
+        println!("{} {source} {}", line.time, line.text);
     }
     Ok(match lines.is_empty() {
         true => ExitCode::from(REFUSED),
--- a/src/config/headers.rs
+++ b/src/config/headers.rs
@@ -1,14 +1,14 @@
-//! The headers by which a backend server's answers speak of the server itself.
+//! Names of the response headers in which a backend server reports its own state.
 
 use serde::{Deserialize, Serialize};
 
-/// What each of them is called; one that has no name is not read.
+/// The header names of a backend server; a header without a name is not read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Headers {
-    /// An answer with this header means that the request did not run there.
+    /// Marks a response to a request that was refused and did not run on the server.
     pub refusal: Option<String>,
-    /// How many requests a second the server takes from all boxes.
+    /// Carries the requests per second that the server accepts from all boxes together.
     pub limit: Option<String>,
-    /// Whether the server is leaving.
+    /// Reports whether the server is leaving.
     pub leaving: Option<String>,
 }
--- a/src/config/label.rs
+++ b/src/config/label.rs
@@ -1,15 +1,16 @@
-//! Labels and the matchers that select by them.
+//! Labels, and matchers that select by label.
 
 use std::{collections::BTreeMap, fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// What operators hang on a caller, route, model or backend server: `team=ward, pool=new`.
+/// Key-value pairs that operators attach to a customer, route, model or backend server, such as
+/// `team=ward, pool=new`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Labels(BTreeMap<String, String>);
 
 impl Labels {
-    /// The value of `key`, where it is set.
+    /// Returns the value of `key`, if it is set.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
@@ -19,13 +20,13 @@
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let mut labels = BTreeMap::new();
-        for part in parts(text) {
+        for part in split_list(text) {
             let (key, value) = part
                 .split_once('=')
                 .ok_or(format!("{part:?} is not KEY=VALUE"))?;
-            let old = labels.insert(word(key)?, word(value)?);
-            if old.is_some() {
-                return Err(format!("{key:?} stands twice"));
+            let previous = labels.insert(parse_token(key)?, parse_token(value)?);
+            if previous.is_some() {
+                return Err(format!("duplicate key {key:?}"));
             }
         }
         Ok(Self(labels))
@@ -46,18 +47,19 @@
     equal: bool,
 }
 
-/// Terms that must all hold: `pool=new, tier!=test`; an empty one matches everything.
+/// A conjunction of terms such as `pool=new, tier!=test`; an empty matcher matches everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Matcher(Vec<Term>);
 
 impl Matcher {
-    /// Whether every term holds for `labels`.
+    /// Reports whether every term holds for `labels`. A term `key!=value` also holds if `key` is
+    /// not set.
     pub fn matches(&self, labels: &Labels) -> bool {
         let holds = |term: &Term| (labels.get(&term.key) == Some(&term.value)) == term.equal;
         self.0.iter().all(holds)
     }
 
-    /// Whether there is no term.
+    /// Reports whether the matcher has no terms.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -77,24 +79,30 @@
                 }
             };
             Ok(Term {
-                key: word(key)?,
-                value: word(value)?,
+                key: parse_token(key)?,
+                value: parse_token(value)?,
                 equal,
             })
         };
-        parts(text).map(term).collect::<Result<_, _>>().map(Self)
+        split_list(text)
+            .map(term)
+            .collect::<Result<_, _>>()
+            .map(Self)
     }
 }
 
-fn parts(text: &str) -> impl Iterator<Item = &str> {
+fn split_list(text: &str) -> impl Iterator<Item = &str> {
     text.split(',').map(str::trim).filter(|p| !p.is_empty())
 }
 
-fn word(text: &str) -> Result<String, String> {
+/// Trims a label key or value and checks its characters.
+fn parse_token(text: &str) -> Result<String, String> {
     let text = text.trim();
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
-    if text.is_empty() || !text.chars().all(plain) {
-        return Err(format!("{text:?} is not a plain word"));
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
+    if text.is_empty() || !text.chars().all(is_allowed) {
+        return Err(format!(
+            "{text:?} must consist of ASCII letters, digits, '.', '_', '-' and '/'"
+        ));
     }
     Ok(text.to_owned())
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' configuration: what stands where, and who may go where.
+//! The operators' configuration: regions, customers, routes, models and backend servers, and the
+//! rules on which customer's requests may run where.
 //!
-//! It lives in the platform's store in a [`Record`], and every box holds the newest one it has
-//! accepted. The text is INI; [`Config::parse`] checks it whole.
+//! The configuration is kept in the platform's store as a [`Record`], and every box uses the newest
+//! one it has accepted. The text is INI; [`Config::parse`] validates it and reports all faults.
 
 mod headers;
 mod label;
@@ -34,7 +35,7 @@
 pub use record::{Envelope, Parcel, Record};
 pub use route::{Ask, Plan, Refusal};
 
-/// The number of an accepted configuration; it only grows.
+/// The version number of an accepted configuration; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -53,12 +54,12 @@
     }
 }
 
-/// The SHA-256 of an API key; the key itself is never kept.
+/// The SHA-256 hash of an API key. The key itself is never stored.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// Hashes the key that a customer sent.
+    /// Hashes an API key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -79,27 +80,27 @@
 impl FromStr for KeyHash {
     type Err = &'static str;
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const WANT: &str = "expected 64 hexadecimal digits";
+        const EXPECTED: &str = "expected 64 hexadecimal digits";
         if text.len() != 64 || !text.is_ascii() {
-            return Err(WANT);
+            return Err(EXPECTED);
         }
         let mut bytes = [0; 32];
         for (byte, pair) in bytes.iter_mut().zip(text.as_bytes().chunks(2)) {
-            let pair = str::from_utf8(pair).map_err(|_| WANT)?;
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| WANT)?;
+            let pair = str::from_utf8(pair).map_err(|_| EXPECTED)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| EXPECTED)?;
         }
         Ok(Self(bytes))
     }
 }
 
-/// What the deployment weighs when a request might leave home.
+/// Weights of price, distance and delay in the choice of where a request runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Milliseconds of expected delay that one unit of a backend server's price is worth.
+    /// Penalty per unit of a backend server's price, in milliseconds of expected delay.
     pub cost: f64,
-    /// Milliseconds of expected delay that staying at home is worth.
+    /// Penalty for running outside the home region, in milliseconds of expected delay.
     pub away: f64,
-    /// Weight of expected delay itself.
+    /// Factor applied to the expected delay itself.
     pub tail: f64,
 }
 
@@ -113,42 +114,42 @@
     }
 }
 
-/// A region and how it is reached.
+/// The settings of a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionEntry {
-    /// Round trip from any other region.
+    /// Round-trip time from any other region.
     pub hop: Millis,
 }
 
-/// A customer.
+/// A customer: its API keys, the regions it may use, and its priority and allotment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// The customer's name.
     pub name: id::Customer,
-    /// The hashes of its API keys.
+    /// Hashes of the customer's API keys.
     pub keys: Vec<KeyHash>,
-    /// Its labels, for selectors.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// The region it calls home.
+    /// The customer's home region.
     pub home: Option<Region>,
-    /// The regions its requests may run in; empty permits all.
+    /// Regions where its requests may run; empty permits all.
     pub regions: Vec<Region>,
-    /// The rank of its requests, which goes before their route's; 0 is the most urgent.
+    /// Priority of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// What it may use; none leaves that unbounded.
+    /// Limit on the customer's use of the whole fleet; `None` means unlimited.
     pub allotment: Option<Allotment>,
 }
 
-/// The least urgent rank of a request.
+/// The least urgent priority of a request.
 pub(crate) const LOWEST_PRIORITY: u8 = 9;
-/// Requests that need no API key, and come without a known one, count as this customer's.
-const ANYBODY: &str = "anybody";
+/// Name of the customer that requests without a known API key are attributed to on open routes.
+const ANONYMOUS_CUSTOMER: &str = "anybody";
 
 impl Customer {
-    /// Whoever needs no API key; nothing bounds them.
+    /// Returns the customer for requests without an API key, which has no limits.
     pub fn anybody() -> Self {
         Self {
-            name: ANYBODY.parse().expect("a proper name"),
+            name: ANONYMOUS_CUSTOMER.parse().expect("the name is valid"),
             keys: vec![],
             labels: Labels::default(),
             home: None,
@@ -159,12 +160,12 @@
     }
 }
 
-/// How a route's requests are read.
+/// The kind of a route, which decides how the service of a request is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// OpenAI-style: the body names the model.
+    /// OpenAI-style requests: the body names the model, which is the service.
     Model,
-    /// Any service: the route is the service.
+    /// Requests of any protocol: the route determines the service.
     Application,
 }
 
@@ -179,65 +180,65 @@
     }
 }
 
-/// A route: the paths below a prefix.
+/// A route: the paths below a prefix, and how requests to them are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, which is the service of an application route.
+    /// The route's name, which is also the service of an application route without shares.
     pub name: Service,
     /// The path prefix, such as `/booking`.
     pub prefix: String,
-    /// How its requests are read.
+    /// The kind of the route.
     pub kind: Kind,
-    /// Whether its requests may run twice.
+    /// Whether its requests are idempotent, so that they may run more than once.
     pub repeatable: bool,
-    /// Its labels, for selectors.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// The regions its requests may run in; empty permits all.
+    /// Regions where its requests may run; empty permits all.
     pub regions: Vec<Region>,
-    /// How long an answer may take to begin, where the customer does not say.
+    /// Time within which an answer must begin if the request names no deadline.
     pub deadline: Millis,
-    /// The host that its requests name; none takes every host.
+    /// Host that requests must name; `None` accepts any host.
     pub host: Option<String>,
-    /// The services that share its requests by weight; empty means the route's own.
+    /// Services that share the requests by weight; empty means the service named like the route.
     pub shares: Vec<Share>,
-    /// Whether a request that may not be repeated needs an idempotency key. Without that, each
-    /// send counts as a request of its own.
+    /// Whether a request that is not repeatable needs an idempotency key. If not, each send counts
+    /// as a separate request.
     pub keyed: bool,
-    /// Most attempts that one request may have.
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
-    /// How long a request may be held in all, its whole answer included.
+    /// Limit on the total duration of a request, including its whole answer.
     pub hold: Option<Millis>,
-    /// Time within which an answer should begin.
+    /// Target time for the beginning of an answer.
     pub target: Option<Millis>,
-    /// Its rank among the requests of a backend server; 0 is the most urgent.
+    /// Default priority of its requests in the queues; 0 is the most urgent.
     pub priority: u8,
-    /// How its answers stream; none where they come whole.
+    /// Streaming settings; `None` if answers do not stream.
     pub stream: Option<Stream>,
-    /// Whether its requests need no API key.
+    /// Whether requests without an API key are accepted.
     pub open: bool,
 }
 
-/// How a route's answers stream.
+/// The streaming settings of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stream {
-    /// Whether another backend server may continue an answer after its last event.
+    /// Whether another backend server may resume an answer after its last event.
     pub resumable: bool,
-    /// The longest pause between two events that is still in time.
+    /// Longest acceptable pause between two events; zero sets no limit.
     pub gap: Millis,
 }
 
 /// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: Service,
-    /// Its weight among the others.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
 impl FromStr for Share {
     type Err = String;
-    /// Reads `NAME:WEIGHT`.
+    /// Parses `NAME:WEIGHT`.
     fn from_str(text: &str) -> Result<Self, String> {
         let (service, weight) = text.split_once(':').ok_or("expected NAME:WEIGHT")?;
         Ok(Self {
@@ -247,63 +248,65 @@
     }
 }
 
-/// What the backend servers of one service have in common.
+/// Properties that all backend servers of one service share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Profile {
-    /// Requests a second that a backend server bears while it is cold; none where that is unbounded.
+    /// Requests per second that a backend server can take while it is cold; `None` means unlimited.
     pub cold_rate: Option<Rate>,
-    /// How long a backend server may be cold before its entry says so.
+    /// Delay until the registration of a backend server that has become cold says so. Servers that
+    /// return after an evacuation count as cold for this long.
     pub cold_lag: Millis,
-    /// What its model engines can do with their memory; none for an application.
+    /// Memory capabilities of the service's model engines; `None` for an application.
     pub engine: Option<Engine>,
 }
 
-/// A model.
+/// A model that engines run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Its name as customers write it.
+    /// The model's name in requests.
     pub name: Service,
-    /// Its labels, for selectors.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// The regions it may run in; empty permits all.
+    /// Regions where the model may run; empty permits all.
     pub regions: Vec<Region>,
 }
 
-/// A backend server.
+/// A backend server and its registered properties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name.
+    /// The server's name.
     pub name: id::Backend,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// The region it stands in.
+    /// Region of the server.
     pub region: Region,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: Domain,
-    /// The models or application routes it serves.
+    /// Models or application services that the server runs.
     pub serves: Vec<Service>,
-    /// Its labels, for selectors.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Requests it takes at once.
+    /// Number of requests that the server runs at the same time.
     pub slots: u32,
-    /// Price of one request, in the deployment's unit.
+    /// Price of one request, in a unit that the deployment chooses.
     pub price: f64,
-    /// Whether it is leaving: it gets no new work.
+    /// Whether the server is leaving and gets no new requests.
     pub leaving: bool,
-    /// How long a leaving one still runs, where it tells: whatever runs there then ends with it.
+    /// Time until a leaving server stops, if known. Requests still running there then are cut off.
     pub time_left: Option<Millis>,
-    /// The headers of its answers that speak of itself.
+    /// Names of the response headers in which the server reports its own state.
     pub headers: Arc<Headers>,
-    /// How long it stays cold after it became known.
+    /// Time for which the server stays cold after its registration is received.
     pub cold: Millis,
-    /// Its life, where it tells: one that starts again under its name has a greater number.
+    /// Incarnation of the server, if known: a restart under the same name has a greater number.
     pub incarnation: Option<Incarnation>,
-    /// The release that it runs, where it tells.
+    /// Release that the server runs, if known.
     pub release: Option<id::Release>,
 }
 
 impl Backend {
-    /// Its name and life in short: one that starts again under its name has another.
+    /// Returns a short hash of name and incarnation, which changes when the server restarts.
+    /// Without an incarnation it is the hash of the name alone.
     pub fn life(&self) -> Short {
         match self.incarnation {
             Some(incarnation) => Short::of(&format!("{} {incarnation}", self.name)),
@@ -312,33 +315,35 @@
     }
 }
 
-/// One line of who may go where; the first that matches decides.
+/// A rule on where the requests of some customers, routes and models may run. The first selector
+/// that matches a request applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Selector {
-    /// Its name.
+    /// The selector's name.
     pub name: id::Selector,
-    /// Which customers it speaks of.
+    /// Customers that the selector applies to.
     pub customers: Matcher,
-    /// Which routes it speaks of.
+    /// Routes that the selector applies to.
     pub routes: Matcher,
-    /// Which models it speaks of; a route without a model matches only an empty matcher.
+    /// Models that the selector applies to; a request without a model matches only an empty
+    /// matcher.
     pub models: Matcher,
-    /// Which backend servers may take the request.
+    /// Backend servers that may run the request.
     pub backends: Matcher,
-    /// The regions its requests may run in; empty permits all.
+    /// Regions where its requests may run; empty permits all.
     pub regions: Vec<Region>,
     /// Whether the request must stay in the customer's home region.
     pub home_only: bool,
 }
 
-/// A checked configuration.
+/// A validated configuration with its look-up indexes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its number.
+    /// Version number of the configuration.
     pub version: Version,
-    /// The mark of the write that brought it.
+    /// Random id of the write that stored the configuration.
     pub write: String,
-    /// What the deployment weighs.
+    /// Weights in the choice of where a request runs.
     pub weights: Weights,
     /// The regions.
     pub regions: HashMap<Region, RegionEntry>,
@@ -352,24 +357,24 @@
     pub backends: HashMap<id::Backend, Backend>,
     /// The selectors, in order.
     pub selectors: Vec<Selector>,
-    /// What is known of services beyond their backend servers.
+    /// Properties shared by the backend servers of each service.
     pub profiles: HashMap<Service, Profile>,
-    /// The customer that requests without an API key count as on routes that need none.
+    /// The customer that requests without an API key are attributed to on open routes.
     pub anonymous: Option<id::Customer>,
-    /// The backend servers that get nothing before an order names their release.
+    /// Backend servers that get no requests until a roll-out order names their release.
     pub awaiting: HashSet<id::Backend>,
     keys: HashMap<KeyHash, id::Customer>,
     index: route::Index,
 }
 
-/// The parts of a configuration, before what is derived from them.
+/// The parts of a configuration from which [`Draft::finish`] builds it.
 #[derive(Debug, Default)]
 pub struct Draft {
-    /// Its number.
+    /// Version number of the configuration.
     pub version: Version,
-    /// The mark of the write that brought it.
+    /// Random id of the write that stored the configuration.
     pub write: String,
-    /// What the deployment weighs, where it says so.
+    /// Weights in the choice of where a request runs; `None` applies the defaults.
     pub weights: Option<Weights>,
     /// The regions.
     pub regions: HashMap<Region, RegionEntry>,
@@ -379,20 +384,20 @@
     pub routes: Vec<Route>,
     /// The models.
     pub models: HashMap<Service, Model>,
-    /// The backend servers that the configuration names.
+    /// The backend servers that the configuration lists.
     pub backends: HashMap<id::Backend, Backend>,
     /// The selectors, in order.
     pub selectors: Vec<Selector>,
-    /// What is known of services.
+    /// Properties shared by the backend servers of each service.
     pub profiles: HashMap<Service, Profile>,
-    /// The customer that requests without an API key count as.
+    /// The customer that requests without an API key are attributed to on open routes.
     pub anonymous: Option<id::Customer>,
-    /// The backend servers that wait for an order.
+    /// Backend servers that get no requests until a roll-out order names their release.
     pub awaiting: HashSet<id::Backend>,
 }
 
 impl Draft {
-    /// Derives what a configuration is looked up by.
+    /// Sorts the routes, builds the look-up indexes and returns the configuration.
     pub fn finish(self) -> Config {
         let mut routes = self.routes;
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -420,17 +425,18 @@
 }
 
 impl Config {
-    /// Whether any customer has an allotment.
+    /// Reports whether any customer has an allotment.
     pub fn is_limited(&self) -> bool {
         self.customers.values().any(|c| c.allotment.is_some())
     }
 
-    /// Whether any customer has an API key.
+    /// Reports whether any customer has an API key.
     pub fn has_keys(&self) -> bool {
         !self.keys.is_empty()
     }
 
-    /// Finds the customer whose key hashes to `hash`.
+    /// Returns the customer that owns the API key with this hash. The hashes are compared in
+    /// constant time.
     pub fn customer(&self, hash: &KeyHash) -> Option<&Customer> {
         let (known, name) = self.keys.get_key_value(hash)?;
         if !bool::from(known.0.ct_eq(&hash.0)) {
@@ -439,7 +445,7 @@
         self.customers.get(name)
     }
 
-    /// The round trip from `from` to `to`; zero at home.
+    /// Returns the round-trip time from `from` to `to`, which is zero within a region.
     pub fn hop(&self, from: &Region, to: &Region) -> Millis {
         if from == to {
             return Millis(0);
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -1,4 +1,5 @@
-//! Checks a configuration's text whole: every fault names its section and key.
+//! Parses and validates the text of a configuration, and reports all faults at once, each with its
+//! section and key.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -13,24 +14,24 @@
     unit::{Millis, Rate},
 };
 
-/// The value of `regions` in a selector that keeps requests in the customer's home region.
-const HOME: &str = "home";
+/// The value of `regions` in a selector that restricts requests to the customer's home region.
+const HOME_REGION_KEYWORD: &str = "home";
 const DEFAULT_HOP: Millis = Millis(40);
 const DEFAULT_DEADLINE: Millis = Millis(30_000);
 const DEFAULT_SLOTS: u32 = 8;
 const DEFAULT_RATE: Rate = Rate(100.0);
-/// Seconds of its rate that a customer may use at once, where it does not say.
-const DEFAULT_BURST: f64 = 2.0;
-/// Tokens that a request without a prompt counts for.
-const DEFAULT_PLAIN: u32 = 200;
-/// How configurations named a customer's section before.
-const OLD_CUSTOMER: &str = "caller";
-/// Attempts of one request in all, where the route does not say.
+/// Default burst of a customer, in seconds of its rate.
+const DEFAULT_BURST_SECONDS: f64 = 2.0;
+/// Default number of tokens charged for a request without a prompt.
+const DEFAULT_PLAIN_TOKENS: u32 = 200;
+/// The former kind of a customer's section, still accepted.
+const LEGACY_CUSTOMER_KIND: &str = "caller";
+/// Default limit on attempts of one request, the first included.
 const DEFAULT_ATTEMPTS: u32 = 3;
 const DEFAULT_PRIORITY: u8 = 5;
 
 impl Config {
-    /// Checks the text of `envelope`; `file` is the name that faults carry.
+    /// Parses and validates the text of `envelope`; `file` is the file name in reported faults.
     pub fn parse(file: &str, envelope: &Envelope) -> Result<Self, Faults> {
         let mut reader = Reader::new(file, &envelope.text)?;
         let config = read(&mut reader, envelope);
@@ -48,22 +49,22 @@
     }
     check_references(reader, &draft);
     if draft.routes.iter().any(|route| route.open) {
-        admit_anybody(reader, &mut draft);
+        add_anonymous_customer(reader, &mut draft);
     }
     draft.version = envelope.version;
     draft.write = envelope.write.clone();
     Some(draft.finish())
 }
 
-/// Lets requests of open routes count as somebody's.
-fn admit_anybody(reader: &mut Reader, draft: &mut Draft) {
-    let anybody = Customer::anybody();
-    let name = anybody.name.clone();
+/// Adds the customer that requests without an API key on open routes are attributed to.
+fn add_anonymous_customer(reader: &mut Reader, draft: &mut Draft) {
+    let anonymous = Customer::anybody();
+    let name = anonymous.name.clone();
     if draft.customers.contains_key(&name) {
-        let section = customer_section(reader, &name);
-        reader.fault(&section, "", "is the name of who comes without a key");
+        let section = customer_section_title(reader, &name);
+        reader.fault(&section, "", "is reserved for requests without an API key");
     }
-    draft.customers.insert(name.clone(), anybody);
+    draft.customers.insert(name.clone(), anonymous);
     draft.anonymous = Some(name);
 }
 
@@ -80,7 +81,7 @@
                 draft.regions.insert(name, entry);
             }
         }
-        "customer" | OLD_CUSTOMER => {
+        "customer" | LEGACY_CUSTOMER_KIND => {
             if let Some(customer) = read_customer(&mut section, name) {
                 draft.customers.insert(customer.name.clone(), customer);
             }
@@ -92,12 +93,17 @@
             }
         }
         "backend" => {
-            let awaits = section.or("await_order", false);
+            let awaits_order = section.or("await_order", false);
             if let Some(backend) = read_backend(&mut section, name) {
-                if awaits && backend.release.is_none() {
-                    section.fault("await_order", "needs a release that an order can name");
+                if awaits_order && backend.release.is_none() {
+                    section.fault(
+                        "await_order",
+                        "needs a release key, so that a roll-out order can name it",
+                    );
                 }
-                draft.awaiting.extend(awaits.then(|| backend.name.clone()));
+                draft
+                    .awaiting
+                    .extend(awaits_order.then(|| backend.name.clone()));
                 draft.backends.insert(backend.name.clone(), backend);
             }
         }
@@ -127,7 +133,7 @@
     let mut weight = |key, default| {
         let value: f64 = section.or(key, default);
         if !(0.0..=1e9).contains(&value) {
-            section.fault(key, "is not between 0 and 1e9");
+            section.fault(key, "must be between 0 and 1e9");
         }
         value
     };
@@ -142,14 +148,14 @@
     let name = read_name(section, name);
     let keys = section.list("key_sha256");
     if keys.is_empty() {
-        section.fault("key_sha256", "names no key");
+        section.fault("key_sha256", "must list at least one key hash");
     }
     let labels = section.or("labels", Default::default());
     let home = section.optional("home");
     let regions = section.list("regions");
     let priority = section.optional("priority");
     if priority.is_some_and(|priority: u8| priority > LOWEST_PRIORITY) {
-        section.fault("priority", "is not between 0 and 9");
+        section.fault("priority", "must be between 0 and 9");
     }
     let allotment = read_allotment(section);
     Some(Customer {
@@ -165,15 +171,15 @@
 
 fn read_allotment(section: &mut Section<'_>) -> Allotment {
     let rate = section.or("rate", DEFAULT_RATE);
-    let burst = section.or("burst", DEFAULT_BURST * rate.0);
+    let burst = section.or("burst", DEFAULT_BURST_SECONDS * rate.0);
     if !(burst.is_finite() && burst > 0.0) {
-        section.fault("burst", "is not a positive number");
+        section.fault("burst", "must be a positive number");
     }
     Allotment {
         unit: section.or("unit", Unit::default()),
         rate,
         burst,
-        plain: section.or("plain_tokens", DEFAULT_PLAIN),
+        plain: section.or("plain_tokens", DEFAULT_PLAIN_TOKENS),
     }
 }
 
@@ -185,7 +191,7 @@
     if let Some(prefix) = &prefix
         && (!prefix.starts_with('/') || prefix.starts_with("/petreldrum"))
     {
-        section.fault("prefix", "must begin with / and lie outside /petreldrum");
+        section.fault("prefix", "must begin with / and not with /petreldrum");
     }
     let labels = section.or("labels", Default::default());
     let regions = section.list("regions");
@@ -193,18 +199,18 @@
     let host = section.optional("host");
     let shares: Vec<Share> = section.list("services");
     if shares.iter().any(|s| s.weight == 0) {
-        section.fault("services", "a weight is zero");
+        section.fault("services", "a weight must be at least 1");
     }
     let keyed = section.or("keyed", true);
     let attempts = section.or("attempts", DEFAULT_ATTEMPTS);
     if attempts == 0 {
-        section.fault("attempts", "is zero");
+        section.fault("attempts", "must be at least 1");
     }
     let hold = section.optional("hold");
     let target = section.optional("target");
     let priority = section.or("priority", DEFAULT_PRIORITY);
     if priority > LOWEST_PRIORITY {
-        section.fault("priority", "is not between 0 and 9");
+        section.fault("priority", "must be between 0 and 9");
     }
     let open = section.or("open", false);
     let gap: Option<Millis> = section.optional("stream_gap");
@@ -247,12 +253,12 @@
     let domain = section.required("failure_domain");
     let serves: Vec<Service> = section.list("serves");
     if serves.is_empty() {
-        section.fault("serves", "names no model or route");
+        section.fault("serves", "must list at least one model or route");
     }
     let labels = section.or("labels", Default::default());
     let slots = section.or("slots", DEFAULT_SLOTS);
     if slots == 0 {
-        section.fault("slots", "is zero");
+        section.fault("slots", "must be at least 1");
     }
     let price = section.or("price", 1.0);
     let leaving = section.or("leaving", false);
@@ -282,14 +288,14 @@
 
 fn read_selector(section: &mut Section<'_>, name: &str) -> Option<Selector> {
     let name = read_name(section, name);
-    let old = section.or("callers", Default::default());
-    let customers = section.or("customers", old);
+    let legacy = section.or("callers", Default::default());
+    let customers = section.or("customers", legacy);
     let routes = section.or("routes", Default::default());
     let models = section.or("models", Default::default());
     let backends = section.or("backends", Default::default());
     let mut regions: Vec<Region> = section.list("regions");
-    let home_only = regions.iter().any(|r| r.as_str() == HOME);
-    regions.retain(|r| r.as_str() != HOME);
+    let home_only = regions.iter().any(|r| r.as_str() == HOME_REGION_KEYWORD);
+    regions.retain(|r| r.as_str() != HOME_REGION_KEYWORD);
     Some(Selector {
         name: name?,
         customers,
@@ -303,39 +309,42 @@
 
 fn check_references(reader: &mut Reader, draft: &Draft) {
     let known = |region: &Region| draft.regions.contains_key(region);
-    let mut odd: Vec<(String, &str, String)> = Vec::new();
-    let mut regions = |section: String, key: &'static str, list: &[Region]| {
+    let mut faults: Vec<(String, &str, String)> = Vec::new();
+    let mut check_regions = |section: String, key: &'static str, list: &[Region]| {
         for region in list.iter().filter(|r| !known(r)) {
-            odd.push((section.clone(), key, format!("no region {region}")));
+            faults.push((section.clone(), key, format!("no region {region}")));
         }
     };
     for customer in draft.customers.values() {
-        let section = customer_section(reader, &customer.name);
-        regions(section.clone(), "home", customer.home.as_slice());
-        regions(section, "regions", &customer.regions);
+        let section = customer_section_title(reader, &customer.name);
+        check_regions(section.clone(), "home", customer.home.as_slice());
+        check_regions(section, "regions", &customer.regions);
     }
     for route in &draft.routes {
-        regions(format!("route {}", route.name), "regions", &route.regions);
+        check_regions(format!("route {}", route.name), "regions", &route.regions);
     }
     for model in draft.models.values() {
-        regions(format!("model {}", model.name), "regions", &model.regions);
+        check_regions(format!("model {}", model.name), "regions", &model.regions);
     }
     for s in &draft.selectors {
-        regions(format!("selector {}", s.name), "regions", &s.regions);
+        check_regions(format!("selector {}", s.name), "regions", &s.regions);
     }
-    let mut serves: Vec<(String, &str, String)> = Vec::new();
+    let mut unknown_services: Vec<(String, &str, String)> = Vec::new();
     for backend in draft.backends.values() {
         let section = format!("backend {}", backend.name);
-        regions(
+        check_regions(
             section.clone(),
             "region",
             std::slice::from_ref(&backend.region),
         );
         for service in &backend.serves {
-            let shared = |r: &Route| r.shares.iter().any(|s| s.service == *service);
-            let route = draft.routes.iter().any(|r| r.name == *service || shared(r));
-            if !route && !draft.models.contains_key(service) {
-                serves.push((
+            let shares_service = |r: &Route| r.shares.iter().any(|s| s.service == *service);
+            let is_route = draft
+                .routes
+                .iter()
+                .any(|r| r.name == *service || shares_service(r));
+            if !is_route && !draft.models.contains_key(service) {
+                unknown_services.push((
                     section.clone(),
                     "serves",
                     format!("no model or route {service}"),
@@ -343,41 +352,51 @@
             }
         }
     }
-    odd.extend(serves);
-    odd.extend(repeated_keys(reader, draft));
-    odd.extend(repeated_services(draft));
-    odd.sort();
-    for (section, key, problem) in odd {
+    faults.extend(unknown_services);
+    faults.extend(duplicate_keys(reader, draft));
+    faults.extend(duplicate_routes(draft));
+    faults.sort();
+    for (section, key, problem) in faults {
         reader.fault(&section, key, problem);
     }
 }
 
-/// A route's name is a service as a model's is, so no two may share one; nor two routes a prefix.
-fn repeated_services(draft: &Draft) -> Vec<(String, &'static str, String)> {
+/// Finds routes whose name is also a model's, and routes with the same host and prefix. Routes and
+/// models share one namespace, since both name services.
+fn duplicate_routes(draft: &Draft) -> Vec<(String, &'static str, String)> {
     let mut prefixes = HashSet::new();
-    let mut found = Vec::new();
+    let mut faults = Vec::new();
     for route in &draft.routes {
         let section = format!("route {}", route.name);
         if draft.models.contains_key(&route.name) {
-            found.push((section.clone(), "", "is a model's name too".to_owned()));
+            faults.push((
+                section.clone(),
+                "",
+                "has the same name as a model".to_owned(),
+            ));
         }
         if !prefixes.insert((&route.host, &route.prefix)) {
-            found.push((section, "prefix", "is another route's too".to_owned()));
+            faults.push((
+                section,
+                "prefix",
+                "is already used by another route".to_owned(),
+            ));
         }
     }
-    found
+    faults
 }
 
-/// The title of a customer's section, as it stands in the text.
-fn customer_section(reader: &Reader, name: &id::Customer) -> String {
-    let old = format!("{OLD_CUSTOMER} {name}");
-    match reader.sections().contains(&old) {
-        true => old,
+/// Returns the section title of a customer as written in the text, which may be the legacy form.
+fn customer_section_title(reader: &Reader, name: &id::Customer) -> String {
+    let legacy = format!("{LEGACY_CUSTOMER_KIND} {name}");
+    match reader.sections().contains(&legacy) {
+        true => legacy,
         false => format!("customer {name}"),
     }
 }
 
-fn repeated_keys(reader: &Reader, draft: &Draft) -> Vec<(String, &'static str, String)> {
+/// Finds customers that list an API key twice or share one with another customer.
+fn duplicate_keys(reader: &Reader, draft: &Draft) -> Vec<(String, &'static str, String)> {
     let mut seen = HashSet::new();
     let mut customers: Vec<&Customer> = draft.customers.values().collect();
     customers.sort_by(|a, b| a.name.cmp(&b.name));
@@ -385,11 +404,11 @@
         .into_iter()
         .filter(|customer| !customer.keys.iter().all(|key| seen.insert(*key)))
         .map(|customer| {
-            let section = customer_section(reader, &customer.name);
+            let section = customer_section_title(reader, &customer.name);
             (
                 section,
                 "key_sha256",
-                "stands twice among the customers".to_owned(),
+                "contains a key that is listed more than once".to_owned(),
             )
         })
         .collect()
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -1,44 +1,45 @@
-//! What the store holds under the key of our own interface: the configuration, and the operators' orders for
-//! roll-outs beside it.
+//! The record in the store for the gateway's own interface: the configuration and the operators'
+//! roll-out orders.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{config::Version, fleet::Rollouts};
 
-/// A configuration as it stands in the store (JSON) and as boxes pass it on.
+/// A configuration as stored (JSON) and as sent between boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The number of this configuration.
+    /// The version number of the configuration.
     pub version: Version,
-    /// A random mark of the write, by which a writer knows its own.
+    /// A random id of the write, by which a writer recognises its own write.
     pub write: String,
-    /// Who changed it.
+    /// The author of the change.
     pub author: String,
-    /// The INI text.
+    /// The configuration text: INI, or JSON where the platform supplies the configuration.
     pub text: String,
 }
 
-/// A configuration with the roll-outs that stand beside it, all under one version.
+/// A configuration together with the roll-outs, under one version number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The configuration.
     #[serde(flatten)]
     pub envelope: Envelope,
-    /// The version in which the text changed last; none where that is the version of the record.
+    /// The version that last changed the text; `None` if that is the version of the record.
     #[serde(default)]
     pub edited: Option<Version>,
-    /// The orders, and what the boxes wrote of them.
+    /// The roll-out orders, and the progress that the boxes recorded for each.
     #[serde(default)]
     pub rollouts: Rollouts,
 }
 
 impl Record {
-    /// The version in which the text changed last.
+    /// Returns the version that last changed the text.
     pub fn edited(&self) -> Version {
         self.edited.unwrap_or(self.envelope.version)
     }
 
-    /// Whether a change that is based on `base` knows the text that stands.
+    /// Reports whether the current text is the text of version `base`, so that a change based on
+    /// `base` overwrites no other change.
     pub fn is_known(&self, base: Version) -> bool {
         (self.edited()..=self.envelope.version).contains(&base)
     }
@@ -55,7 +56,8 @@
     }
 }
 
-/// As boxes pass it on: the compact form has no keys, so nothing may be flattened.
+/// A record as sent between boxes. The compact encoding has no field names, so it cannot represent
+/// the flattened envelope of [`Record`].
 pub type Parcel = (Envelope, Option<Version>, Rollouts);
 
 impl From<Parcel> for Record {
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -1,4 +1,4 @@
-//! From a request's head to the places that may run it.
+//! Routing: from the head of a request to the regions and backend servers that may run it.
 
 use std::{collections::HashMap, fmt};
 
@@ -8,51 +8,53 @@
     unit::Millis,
 };
 
-/// What routing needs to know of a request.
+/// The properties of a request that decide how it is routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
     /// The customer.
     pub customer: id::Customer,
     /// The path, without its query.
     pub path: String,
-    /// The model that the body names.
+    /// The model named in the body.
     pub model: Option<Service>,
-    /// The host that the request names.
+    /// The host named by the request.
     pub host: Option<String>,
-    /// A random number, the same for as long as the request is in hand: it chooses among the
-    /// services that share a route.
+    /// A random number that chooses among the services of a route. It stays the same for as long as
+    /// the request is in flight.
     pub draw: u64,
 }
 
-/// Finds routes by host and path, however many there are.
+/// Index of routes by host and path prefix. The cost of a search depends on the number of
+/// segments in the path, not on the number of routes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Index {
-    hosts: HashMap<String, HashMap<String, usize>>,
-    any: HashMap<String, usize>,
+    by_host: HashMap<String, HashMap<String, usize>>,
+    any_host: HashMap<String, usize>,
 }
 
 impl Index {
-    /// An index of `routes` by their positions.
+    /// Builds an index that maps to positions in `routes`.
     pub(super) fn new(routes: &[Route]) -> Self {
         let mut index = Self::default();
         for (position, route) in routes.iter().enumerate() {
             let prefix = route.prefix.trim_end_matches('/').to_owned();
             let paths = match &route.host {
-                Some(host) => index.hosts.entry(host.clone()).or_default(),
-                None => &mut index.any,
+                Some(host) => index.by_host.entry(host.clone()).or_default(),
+                None => &mut index.any_host,
             };
             paths.entry(prefix).or_insert(position);
         }
         index
     }
 
-    /// The positions whose prefix may begin `path`, longest first; a named host goes first.
+    /// Returns the positions of routes whose prefix may match `path`. Routes of the named host come
+    /// before routes of any host, and longer prefixes before shorter ones.
     fn find(&self, host: Option<&str>, path: &str) -> impl Iterator<Item = usize> {
-        let named = host.and_then(|host| self.hosts.get(host));
-        let tables = named.into_iter().chain([&self.any]);
+        let named = host.and_then(|host| self.by_host.get(host));
+        let tables = named.into_iter().chain([&self.any_host]);
         tables.flat_map(move |table| {
-            let borders = path.match_indices('/').map(|(at, _)| at);
-            let ends = borders.chain([path.len()]).collect::<Vec<_>>();
+            let slashes = path.match_indices('/').map(|(at, _)| at);
+            let ends = slashes.chain([path.len()]).collect::<Vec<_>>();
             ends.into_iter()
                 .rev()
                 .filter_map(move |end| table.get(&path[..end]).copied())
@@ -60,18 +62,19 @@
     }
 }
 
-/// Why no place may run a request.
+/// The reason why a request cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The configuration has no such customer.
+    /// The customer is not in the configuration.
     UnknownCustomer,
-    /// No route has a prefix of the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The body of a model request names no known model.
+    /// The body of a request on a model route names no known model.
     NoModel,
-    /// No selector speaks of the request.
+    /// No selector matches the request.
     NoSelector,
-    /// The labels leave no region.
+    /// No region is permitted by the customer, route, model and selector together, or the selector
+    /// requires a home region and the customer has none.
     NoRegion,
 }
 
@@ -87,43 +90,46 @@
     }
 }
 
-/// Where a request may go under one configuration.
+/// The routing result for a request under one configuration: its service and the constraints on
+/// where it may run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan<'a> {
-    /// The customer.
+    /// The customer that sent the request.
     pub customer: &'a Customer,
-    /// The route.
+    /// The route that matches the request.
     pub route: &'a Route,
-    /// The selector that decided.
+    /// The first selector that matches the request.
     pub selector: &'a id::Selector,
-    /// What must serve it.
+    /// The service that must run the request.
     pub service: Service,
-    /// The line that such requests wait in: they may go to the same places.
+    /// The queue of the request: the model, or the route of an application request. Requests of one
+    /// queue may run in the same places.
     pub line: Service,
     backends: &'a Matcher,
-    limits: Vec<&'a [Region]>,
+    region_limits: Vec<&'a [Region]>,
     home: Option<&'a Region>,
 }
 
 impl Plan<'_> {
-    /// Whether the request may run in `region`.
+    /// Reports whether the request may run in `region`.
     pub fn permits(&self, region: &Region) -> bool {
-        let inside = |list: &&[Region]| list.is_empty() || list.contains(region);
-        self.limits.iter().all(inside) && self.home.is_none_or(|home| home == region)
+        let includes = |list: &&[Region]| list.is_empty() || list.contains(region);
+        self.region_limits.iter().all(includes) && self.home.is_none_or(|home| home == region)
     }
 
-    /// The rank of its requests: the customer's own goes before the route's.
+    /// Returns the priority of the request; the customer's own overrides the route's.
     pub fn priority(&self) -> u8 {
         self.customer.priority.unwrap_or(self.route.priority)
     }
 
-    /// The longest pause between two events of its answer that is in time, where it streams.
+    /// Returns the longest acceptable pause between two events of a streamed answer. `None` if the
+    /// answer does not stream or the route sets no such pause.
     pub fn gap(&self) -> Option<Millis> {
         let gap = self.route.stream.map(|stream| stream.gap);
         gap.filter(|gap| gap.0 > 0)
     }
 
-    /// Whether `backend` may run the request, leaving aside whether it can now.
+    /// Reports whether `backend` is permitted to run the request, regardless of its current state.
     pub fn allows(&self, backend: &Backend) -> bool {
         self.permits(&backend.region)
             && backend.serves.contains(&self.service)
@@ -132,7 +138,8 @@
 }
 
 impl Config {
-    /// Finds the selector for `ask` and what it permits.
+    /// Routes a request: finds its customer, route, model and selector, and the constraints that
+    /// follow from them.
     pub fn plan(&self, ask: &Ask) -> Result<Plan<'_>, Refusal> {
         let customer = self
             .customers
@@ -160,8 +167,8 @@
         if selector.home_only && customer.home.is_none() {
             return Err(Refusal::NoRegion);
         }
-        let mut limits = vec![&customer.regions[..], &route.regions, &selector.regions];
-        limits.extend(model.map(|m| &m.regions[..]));
+        let mut region_limits = vec![&customer.regions[..], &route.regions, &selector.regions];
+        region_limits.extend(model.map(|m| &m.regions[..]));
         let line = model.map_or_else(|| route.name.clone(), |m| m.name.clone());
         let plan = Plan {
             line,
@@ -170,7 +177,7 @@
             selector: &selector.name,
             service: model.map_or_else(|| route.service(ask.draw), |m| m.name.clone()),
             backends: &selector.backends,
-            limits,
+            region_limits,
             home: customer.home.as_ref().filter(|_| selector.home_only),
         };
         if !self.regions.keys().any(|region| plan.permits(region)) {
@@ -179,23 +186,24 @@
         Ok(plan)
     }
 
-    /// The routes of `host`.
+    /// Returns the routes of `host`; with `None`, those that accept any host.
     pub fn of_host(&self, host: Option<&str>) -> impl Iterator<Item = &Route> {
         let routes = self.routes.iter();
         routes.filter(move |r| r.host.as_deref() == host)
     }
 
-    /// The routes of `host` whose requests may run in `region`.
+    /// Returns the routes of `host` whose requests may run in `region`.
     pub fn permitted(&self, host: Option<&str>, region: &Region) -> impl Iterator<Item = &Route> {
         let routes = self.of_host(host);
         routes.filter(|r| r.permits(region))
     }
 
-    /// The route of `host` with the longest prefix of `path`, at a segment's border.
+    /// Returns the route with the longest prefix of `path` that ends at a segment boundary. A route
+    /// of `host` takes precedence over one that accepts any host.
     pub fn route(&self, host: Option<&str>, path: &str) -> Option<&Route> {
         let found = self.index.find(host, path);
         let routes = found.filter_map(|position| self.routes.get(position));
-        // A prefix that ends with a slash does not stand for the path without it.
+        // The index drops trailing slashes, but a prefix such as `/a/` must not match `/a`.
         routes
             .into_iter()
             .find(|route| path.starts_with(&route.prefix))
@@ -203,23 +211,25 @@
 }
 
 impl Route {
-    /// Whether its requests may run in `region`, as far as the route says.
+    /// Reports whether the route permits its requests to run in `region`. Customers, models and
+    /// selectors can restrict the regions further.
     pub fn permits(&self, region: &Region) -> bool {
         self.regions.is_empty() || self.regions.contains(region)
     }
 
-    /// The service that a request with this `draw` goes to.
+    /// Chooses the service for a request by weight: `draw` modulo the total weight. Without shares
+    /// the service has the route's own name.
     fn service(&self, draw: u64) -> Service {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let Some(mut point) = draw.checked_rem(total) else {
+        let Some(mut remainder) = draw.checked_rem(total) else {
             return self.name.clone();
         };
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if point < weight {
+            if remainder < weight {
                 return share.service.clone();
             }
-            point -= weight;
+            remainder -= weight;
         }
         self.name.clone()
     }
