--- a/tests/box_sizes.rs
+++ b/tests/box_sizes.rs
@@ -1,4 +1,5 @@
-//! What a box's settings tell of its size, and the weight that follows.
+//! A box's settings give its size, from which its weight is derived. The fault of an
+//! invalid value names its key.
 
 use petreldrum::{
     settings::Settings,
@@ -6,13 +7,13 @@
 };
 
 #[test]
-fn scarcer_part_decides() {
+fn scarcer_resource_sets_weight() {
     let weight = |core: f64, link: f64| {
         let size = Size::new(Some(Core(core)), None, Some(Link(link)));
         size.weight().expect("a weight").number()
     };
-    assert_eq!(weight(0.25, 1000.0), 100, "by its processor");
-    assert_eq!(weight(0.5, 10.0), 40, "by its link");
+    assert_eq!(weight(0.25, 1000.0), 100, "limited by the processor");
+    assert_eq!(weight(0.5, 10.0), 40, "limited by the link");
     assert!(weight(0.0001, 0.0001) >= 4);
     assert_eq!(Size::default().weight(), None);
     assert_eq!(Size::new(Some(Core(0.0)), None, None).weight(), None);
@@ -28,27 +29,27 @@
 }
 
 #[test]
-fn settings_tell_sizes() {
-    let told = settings("core_share=0.25\ncore_speed=2\nmemory=120MiB\nlink=10.0Mbps\n");
-    let told = told.expect("it checks");
+fn settings_give_sizes() {
+    let parsed = settings("core_share=0.25\ncore_speed=2\nmemory=120MiB\nlink=10.0Mbps\n");
+    let parsed = parsed.expect("valid settings");
     assert_eq!(
-        told.size.to_string(),
+        parsed.size.to_string(),
         "core=0.5 memory=120MiB link=10Mbps weight=40"
     );
-    assert_eq!(told.body_memory.0, 60 << 20, "half of its memory");
-    let silent = settings("").expect("it checks");
+    assert_eq!(parsed.body_memory.0, 60 << 20, "half of the box's memory");
+    let defaults = settings("").expect("valid settings");
     assert_eq!(
-        (silent.size, silent.body_memory.0),
+        (defaults.size, defaults.body_memory.0),
         (Size::default(), 64 << 20)
     );
-    for wrong in [
+    for invalid in [
         "core_share=-1",
         "link=10",
         "memory=some",
         "core_speed=NaN",
         "link=infMbps",
     ] {
-        let key = wrong.split('=').next().expect("a key");
-        assert!(settings(wrong).expect_err("a fault").contains(key));
+        let key = invalid.split('=').next().expect("a key");
+        assert!(settings(invalid).expect_err("a fault").contains(key));
     }
 }
--- a/tests/harness/cloud.rs
+++ b/tests/harness/cloud.rs
@@ -1,4 +1,5 @@
-//! Boxes on the users' platform: its store and backend servers are stand-ins in the test's process.
+//! Runs box processes on a platform whose store and backend servers are stand-ins in the test's
+//! process.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -21,9 +22,9 @@
 
 pub const HOST: &str = "a.example";
 /// Time between two requests of [`CloudBox::press`].
-pub const STEP: Duration = Duration::from_millis(83);
+pub const PRESS_INTERVAL: Duration = Duration::from_millis(83);
 
-/// A box process that runs on the platform.
+/// A box process on the platform.
 pub struct CloudBox {
     pub public: SocketAddr,
     pub peer: SocketAddr,
@@ -54,7 +55,7 @@
         answer.is_ok_and(|a| a.status.is_success())
     }
 
-    /// The boxes that a look-up names.
+    /// The addresses that a directory look-up returns.
     pub async fn resolve(&self, region: &str) -> Vec<String> {
         let path = format!("/v1/resolve?name={HOST}&region={region}&zone={region}-a");
         let answer = call(self.directory, Method::GET, &path, &[], "").await;
@@ -64,17 +65,18 @@
         rows.iter().map(text).collect()
     }
 
-    /// Sends a request that its backend server answers in `mode`.
+    /// Sends a request that the backend server answers in `mode`.
     pub async fn send(&self, path: &str, id: &str, mode: &str) -> Answer {
         self.begin(path, id, mode).await.finish().await
     }
 
-    /// Sends requests for a while, one each [`STEP`], each of which runs for 400 ms; every answer.
-    pub async fn press(&self, mark: &str, span: Duration) -> Vec<Answer> {
-        let count = (span.as_millis() / STEP.as_millis()) as u32;
+    /// Sends a request every [`PRESS_INTERVAL`] during `span` and returns all answers; each request
+    /// runs for 400 ms.
+    pub async fn press(&self, id_prefix: &str, span: Duration) -> Vec<Answer> {
+        let count = (span.as_millis() / PRESS_INTERVAL.as_millis()) as u32;
         let answers = (0..count).map(|number| async move {
-            sleep(STEP * number).await;
-            let id = format!("{mark}-{number}");
+            sleep(PRESS_INTERVAL * number).await;
+            let id = format!("{id_prefix}-{number}");
             self.send("/safe/x", &id, "slow").await
         });
         join_all(answers).await
@@ -84,10 +86,10 @@
         self.begin_with(path, id, mode, id.to_owned()).await
     }
 
-    /// Sends a request with more headers.
-    pub async fn send_with(&self, path: &str, id: &str, more: &[(&str, &str)]) -> Answer {
+    /// Sends a request with additional headers.
+    pub async fn send_with(&self, path: &str, id: &str, extra: &[(&str, &str)]) -> Answer {
         let mut headers = vec![("host", HOST), ("request-id", id), ("deadline-ms", "4000")];
-        headers.extend_from_slice(more);
+        headers.extend_from_slice(extra);
         call(self.public, Method::POST, path, &headers, "")
             .await
             .expect("the box answers")
@@ -106,7 +108,7 @@
     }
 }
 
-/// The platform and the boxes on it.
+/// The platform with its boxes and backend servers.
 pub struct Cloud {
     pub registry: Registry,
     pub boxes: Vec<CloudBox>,
@@ -117,7 +119,7 @@
 }
 
 impl Cloud {
-    /// A platform with a store, and no box or backend server yet.
+    /// Starts a platform with a store, without boxes and backend servers.
     pub async fn start() -> Self {
         let registry = Registry::default();
         let store = start(registry.clone()).await.expect("the store starts");
@@ -131,7 +133,7 @@
         }
     }
 
-    /// One box and these backend servers, ready.
+    /// Starts one box and these backend servers and waits until the box is ready.
     pub async fn serving(workers: &[&str]) -> Self {
         let mut cloud = Self::start().await;
         cloud.configure(1);
@@ -143,7 +145,8 @@
         cloud
     }
 
-    /// A box in atl and one in mcn, where these backend servers are; relays between them are served.
+    /// Starts a box in atl and one in mcn, with these backend servers in mcn, and waits until
+    /// requests are relayed.
     pub async fn across(workers: &[&str]) -> Self {
         let mut cloud = Self::start().await;
         cloud.configure(1);
@@ -160,18 +163,18 @@
         cloud
     }
 
-    /// Sends requests to all boxes at once.
-    pub async fn press_all(&self, mark: &str, span: Duration) -> Vec<Answer> {
+    /// Sends requests to all boxes concurrently, as [`CloudBox::press`] does.
+    pub async fn press_all(&self, id_prefix: &str, span: Duration) -> Vec<Answer> {
         let entries = self.boxes.iter().enumerate();
-        let presses = entries.map(|(number, entry)| async move {
-            let mark = format!("{mark}-{number}");
-            entry.press(&mark, span).await
+        let batches = entries.map(|(number, entry)| async move {
+            let id_prefix = format!("{id_prefix}-{number}");
+            entry.press(&id_prefix, span).await
         });
-        let answers = join_all(presses).await;
+        let answers = join_all(batches).await;
         answers.into_iter().flatten().collect()
     }
 
-    /// The store falls silent for a moment and comes back from a copy.
+    /// Stops the store's answers for 500 ms and restores it from a copy.
     pub async fn restore_store(&self, copy: &Copy) {
         self.registry.set_fault(Fault::Silent);
         sleep(Duration::from_millis(500)).await;
@@ -179,26 +182,27 @@
         self.registry.set_fault(Fault::None);
     }
 
-    /// Later boxes reach the store by another way, which may fail by itself.
+    /// Opens a second endpoint of the store, for boxes that start later; it can fail independently.
     pub async fn another_store(&mut self) -> Registry {
-        let beside = self.registry.beside();
-        self.store = start(beside.clone()).await.expect("the store starts");
-        beside
+        let endpoint = self.registry.beside();
+        self.store = start(endpoint.clone()).await.expect("the store starts");
+        endpoint
     }
 
-    /// Waits until every box takes work.
+    /// Waits until every box is ready.
     pub async fn settled(&self) {
         for process in &self.boxes {
             eventually("a box is ready", || process.is_ready()).await;
         }
     }
 
-    /// Puts a configuration: `/safe/`, `/once/`, `/stream/`, and `/vN/` for its version.
+    /// Stores a configuration with the routes `/open/`, `/safe/`, `/once/`, `/stream/`, and `/vN/`
+    /// for version N.
     pub fn configure(&self, version: u64) {
         self.configure_for(version, json!([]));
     }
 
-    /// The same, with customers; `/open/` needs no key of theirs.
+    /// Stores the configuration of [`Cloud::configure`] with customers; `/open/` needs no API key.
     pub fn configure_for(&self, version: u64, customers: Value) {
         let route = |prefix: &str, kind: &str, resumable: bool, attempts: u32| {
             json!({
@@ -237,7 +241,7 @@
         self.register_release(name, address, region, state, "v1");
     }
 
-    /// The same for a release of its software.
+    /// Registers a backend server that runs the given release.
     pub fn register_release(
         &self,
         name: &str,
@@ -253,7 +257,7 @@
         self.registry.put(&format!("servers/{name}"), &content);
     }
 
-    /// Later boxes are told of no others.
+    /// Clears the seeds, so that boxes that start later know no other box.
     pub fn forget_seeds(&mut self) {
         self.seeds.clear();
     }
@@ -262,24 +266,25 @@
         self.folder.path().join(format!("box-{number}.ini"))
     }
 
-    /// Tells a box of a seed, in its settings.
+    /// Adds a seed to a box's settings file.
     pub fn seed(&self, number: usize, seed: SocketAddr) {
         let path = self.settings(number);
-        let text = std::fs::read_to_string(&path).expect("the settings read");
+        let text = std::fs::read_to_string(&path).expect("readable settings");
         let text = text.replace("seeds = ", &format!("seeds = {seed}, "));
         std::fs::write(&path, text).expect("the settings are written");
     }
 
-    /// Makes a box's settings unreadable.
+    /// Overwrites a box's settings with invalid ones.
     pub fn spoil_settings(&self, number: usize) {
-        std::fs::write(self.settings(number), "[box]\nname = \n").expect("they are written");
+        std::fs::write(self.settings(number), "[box]\nname = \n")
+            .expect("the settings are written");
     }
 
     pub async fn add_box(&mut self, region: &str) {
         self.add_box_with(region, &[]).await;
     }
 
-    /// The same, with variables in the environment of the process.
+    /// Starts a box with additional environment variables.
     pub async fn add_box_with(&mut self, region: &str, variables: &[(&str, &PathBuf)]) {
         let number = self.boxes.len();
         let text = format!(
@@ -319,11 +324,11 @@
         });
     }
 
-    /// The runs of a request over all backend servers.
+    /// Counts the runs of a request over all backend servers.
     pub fn runs(&self, id: &str) -> usize {
         self.workers.values().map(|w| w.seen(id).len()).sum()
     }
 }
 
-/// Long enough for news of the store to reach the boxes.
+/// Time within which a change of the store reaches the boxes.
 pub const NEWS: Duration = Duration::from_millis(500);
--- a/tests/harness/engines.rs
+++ b/tests/harness/engines.rs
@@ -1,4 +1,4 @@
-//! A box on the platform whose region has model engines, as its reducer alone.
+//! Simulates one box on the platform, as its reducer alone, in a region with model engines.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     "maxAttempts":1,"resumable":false,"gapAimMs":400,"homeRegions":[]}],
     "services":[{"name":"s","coldPerS":9.7,"engine":{"kvTokens":335639}}]}"#;
 
-/// The same, where engines tell what they keep.
+/// A configuration whose engines report which prompt parts they hold (`most` is set).
 pub const TELLING: &str = r#"{"version":1,"routes":[{"name":"r","host":"h.example","pathPrefix":"/p/",
     "kind":"streaming","timeoutMs":8000,"targetLatencyMs":1000,"priority":1,"service":"s",
     "maxAttempts":1,"resumable":false,"gapAimMs":400,"homeRegions":[]}],
@@ -47,14 +47,14 @@
     life(name, state, cold, 0)
 }
 
-/// An engine that started at `born`.
+/// An engine whose process started at `born`.
 pub fn life(name: &str, state: &str, cold: u64, born: u64) -> Backend {
     let entry = format!(
         r#"{{"service":"s","address":"10.0.0.1:1","zone":"atl-a","slots":64,
             "state":"{state}","coldRemainingMs":{cold},"born":{born}}}"#
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::server(&name, entry.as_bytes(), &places()).expect("a valid record")
 }
 
 impl World {
@@ -62,19 +62,19 @@
         Self::at("box", engines)
     }
 
-    /// A box before engines whose memory moves between them.
+    /// A box with engines that can transfer their caches to each other.
     pub fn moving(engines: Vec<Backend>) -> Self {
         let moving = r#""kvTokens":335639,"kvBytes":163840,"linkMbps":550000"#;
         let config = CONFIG.replace(r#""kvTokens":335639"#, moving);
         Self::with("box", &config, engines)
     }
 
-    /// The box of this name.
+    /// A box of this name with the default configuration.
     pub fn at(name: &str, engines: Vec<Backend>) -> Self {
         Self::with(name, CONFIG, engines)
     }
 
-    /// The same under another configuration.
+    /// A box of this name with the given configuration.
     pub fn with(name: &str, config: &str, engines: Vec<Backend>) -> Self {
         let identity = Identity {
             contact: contact(name, "atl", 10),
@@ -92,8 +92,8 @@
             now: Time(0),
             requests: 0,
         };
-        let envelope = record::envelope(config.into()).expect("it reads");
-        let config = Arc::new(record::config(&envelope, &places()).expect("it reads"));
+        let envelope = record::envelope(config.into()).expect("a valid record");
+        let config = Arc::new(record::config(&envelope, &places()).expect("a valid record"));
         let source = Source::Store;
         world.step(Event::Offered { config, source });
         let list = Change::List {
@@ -108,7 +108,7 @@
         self.state.step(self.now, event)
     }
 
-    /// The engines that are asked while time passes.
+    /// Advances time and returns the engines whose inventory the box requests.
     pub fn asked(&mut self, millis: u64) -> Vec<String> {
         let mut names = Vec::new();
         for _ in 0..millis / 100 {
@@ -127,12 +127,12 @@
         self.step(Event::Cached { backend, parts })
     }
 
-    /// Sends a request whose prompt has these parts; the last one is its own.
+    /// Sends a request whose prompt has these parts; the last one is unique to it.
     pub fn prompt(&mut self, parts: &[Part]) -> Vec<Send> {
         self.drawn(parts, 0)
     }
 
-    /// The same, of a request with this draw.
+    /// Sends a request whose prompt has these parts, with the given random draw.
     pub fn drawn(&mut self, parts: &[Part], draw: u64) -> Vec<Send> {
         self.requests += 1;
         let arrival = Arrival {
@@ -181,8 +181,8 @@
             Effect::Gossip { frame, .. } => Some(frame),
             _ => None,
         });
-        let mut beats = frames.filter(|frame| matches!(frame.body, Body::Heartbeat(_)));
-        beats.next().expect("it greets its seed")
+        let mut heartbeats = frames.filter(|frame| matches!(frame.body, Body::Heartbeat(_)));
+        heartbeats.next().expect("a heartbeat to the seed")
     }
 
     pub fn pass(&mut self, millis: u64) {
--- a/tests/harness/limits.rs
+++ b/tests/harness/limits.rs
@@ -1,4 +1,4 @@
-//! The boxes of a region before backend servers that name limits, as reducers.
+//! Simulates the boxes of a region, as reducers, with backend servers that announce request limits.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -18,35 +18,37 @@
     solo::{BASE, arrival, caller, server},
 };
 
-/// Time between two looks at the servers, in ms.
-const STEP: u64 = 20;
-/// How long an answer takes to begin, and to end.
-const FIRST: Millis = Millis(60);
-const WHOLE: Millis = Millis(200);
-/// From when on the boxes must keep to a limit, after it was named first.
+/// Simulation step, in ms.
+const STEP_MS: u64 = 20;
+/// Time from a request's arrival at a server to the start of the answer.
+const FIRST_BYTE_DELAY: Millis = Millis(60);
+/// Time from a request's arrival at a server to the end of the answer.
+const ANSWER_DURATION: Millis = Millis(200);
+/// Time after the first announcement of a limit from which on the boxes must observe it.
 pub const FORCE: Millis = Millis(5000);
-/// The span over which a server's requests are counted.
+/// The window over which a server's requests are counted.
 pub const WINDOW: Millis = Millis(4000);
 
-/// What a server with this limit may get in a window: half as much again, and five more.
+/// The most requests that a server with this limit may receive in a window: 1.5 times the limit,
+/// plus five.
 pub fn allowed(limit: f64) -> usize {
     (1.5 * limit * WINDOW.0 as f64 / 1000.0) as usize + 5
 }
 
-/// A request at a server.
-struct Run {
+/// A request that a server is processing.
+struct InFlight {
     number: usize,
     send: Send,
-    /// When it was sent, by the box's clock.
+    /// Send time on the box's clock.
     sent: Time,
     begins: Time,
     ends: Time,
     begun: bool,
 }
 
-/// A request that came to a server.
+/// The arrival of a request at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Came {
+pub struct ServerArrival {
     pub at: Time,
     pub server: usize,
     pub number: usize,
@@ -54,21 +56,21 @@
 
 pub struct Scene {
     pub crowd: Crowd,
-    /// What each server names in its answers.
+    /// The limit that each server announces in its answers, in requests per second.
     pub limits: Vec<Option<f64>>,
-    /// Requests a second at each box.
+    /// Requests per second at each box.
     pub demand: f64,
-    pub came: Vec<Came>,
+    pub came: Vec<ServerArrival>,
     pub refused: Vec<(Time, Reply)>,
     pub served: usize,
     names: Vec<id::Backend>,
-    runs: VecDeque<Run>,
+    in_flight: VecDeque<InFlight>,
     requests: u64,
-    owed: f64,
+    due_requests: f64,
 }
 
 fn config(servers: usize) -> Arc<Config> {
-    let names = (0..servers).map(name);
+    let names = (0..servers).map(server_name);
     let servers: String = names.map(|name| server(&name, "perth", 50)).collect();
     let text = BASE.to_owned() + &caller("a", "rate=1000000/s") + &servers + "[selector all]\n";
     let envelope = Envelope {
@@ -77,15 +79,15 @@
         author: String::new(),
         text,
     };
-    Arc::new(Config::parse("test", &envelope).expect("checks"))
+    Arc::new(Config::parse("test", &envelope).expect("a valid configuration"))
 }
 
-fn name(server: usize) -> String {
+fn server_name(server: usize) -> String {
     format!("s{}", char::from(b'a' + server as u8))
 }
 
 impl Scene {
-    /// Boxes that know each other, before servers that name nothing.
+    /// Boxes that know each other, with servers that announce no limit.
     pub fn new(boxes: usize, servers: usize, demand: f64) -> Self {
         let mut crowd = Crowd::in_one_region(boxes, config(servers));
         crowd.pass(20_000);
@@ -97,37 +99,38 @@
             refused: Vec::new(),
             served: 0,
             names: (0..servers)
-                .map(|s| name(s).parse().expect("a name"))
+                .map(|s| server_name(s).parse().expect("a name"))
                 .collect(),
-            runs: VecDeque::new(),
+            in_flight: VecDeque::new(),
             requests: 0,
-            owed: 0.0,
+            due_requests: 0.0,
         }
     }
 
-    /// Lets time pass while callers ask all boxes in turn.
+    /// Advances time while callers send requests to all boxes in turn.
     pub fn pass(&mut self, millis: u64) {
-        for _ in 0..millis / STEP {
-            self.crowd.now = self.crowd.now + Millis(STEP);
-            self.answer();
+        for _ in 0..millis / STEP_MS {
+            self.crowd.now = self.crowd.now + Millis(STEP_MS);
+            self.deliver_answers();
             if self.crowd.now.0.is_multiple_of(TICK) {
                 let effects = self.crowd.tick();
                 for (number, effect) in effects {
-                    self.carry_out(number, effect);
+                    self.apply_effect(number, effect);
                 }
             }
-            self.owed += self.demand * self.crowd.boxes.len() as f64 * STEP as f64 / 1000.0;
-            while self.owed >= 1.0 {
-                self.owed -= 1.0;
+            self.due_requests +=
+                self.demand * self.crowd.boxes.len() as f64 * STEP_MS as f64 / 1000.0;
+            while self.due_requests >= 1.0 {
+                self.due_requests -= 1.0;
                 self.ask();
             }
         }
     }
 
-    /// A request comes to the box whose turn it is.
+    /// Sends a request to the next box in turn.
     pub fn ask(&mut self) {
         self.requests += 1;
-        // Boxes in an order that repeats only after all had their turn.
+        // 7919 is prime, so every box has its turn before one repeats (below 7919 boxes).
         let number = (self.requests as usize * 7919) % self.crowd.boxes.len();
         if !self.crowd.frozen.contains(&number) {
             self.step(number, arrival(self.requests, "a", None));
@@ -136,11 +139,11 @@
 
     pub fn step(&mut self, number: usize, event: Event) {
         for effect in self.crowd.step(number, event) {
-            self.carry_out(number, effect);
+            self.apply_effect(number, effect);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effect: Effect) {
+    fn apply_effect(&mut self, number: usize, effect: Effect) {
         let at = self.crowd.now;
         let send = match effect {
             Effect::Send(send) => send,
@@ -152,38 +155,38 @@
         };
         let server = self.names.iter().position(|n| n == name);
         let server = server.expect("a known server");
-        self.came.push(Came { at, server, number });
-        self.runs.push_back(Run {
+        self.came.push(ServerArrival { at, server, number });
+        self.in_flight.push_back(InFlight {
             number,
             sent: self.crowd.clock(number),
-            begins: at + FIRST,
-            ends: at + WHOLE,
+            begins: at + FIRST_BYTE_DELAY,
+            ends: at + ANSWER_DURATION,
             begun: false,
             send,
         });
     }
 
-    /// Starts a box anew; what it had sent gets no answer.
+    /// Restarts a box; its requests in flight get no answer.
     pub fn launch(&mut self, number: usize) {
         self.crowd.frozen.retain(|frozen| *frozen != number);
-        self.runs.retain(|run| run.number != number);
+        self.in_flight.retain(|run| run.number != number);
         self.crowd.launch(number);
     }
 
-    fn answer(&mut self) {
-        for mut run in std::mem::take(&mut self.runs) {
+    fn deliver_answers(&mut self) {
+        for mut run in std::mem::take(&mut self.in_flight) {
             let now = self.crowd.now;
-            // A box that stands still reads later; one that was killed, never.
+            // A frozen box reads its answers once it resumes; `launch` drops those of a killed one.
             if self.crowd.frozen.contains(&run.number) || now < run.begins {
-                self.runs.push_back(run);
+                self.in_flight.push_back(run);
                 continue;
             }
             if !run.begun {
                 run.begun = true;
-                self.begin(&run);
+                self.begin_answer(&run);
             }
             if now < run.ends {
-                self.runs.push_back(run);
+                self.in_flight.push_back(run);
                 continue;
             }
             self.served += 1;
@@ -198,7 +201,7 @@
         }
     }
 
-    fn begin(&mut self, run: &Run) {
+    fn begin_answer(&mut self, run: &InFlight) {
         let Target::Backend { name, .. } = &run.send.target else {
             return;
         };
@@ -219,14 +222,14 @@
         self.step(run.number, Event::Begun { request, attempt });
     }
 
-    /// When requests came to a server from `since` on.
+    /// The arrival times of requests at a server from `since` on.
     pub fn arrivals(&self, server: usize, since: Time) -> Vec<Time> {
         let came = self.came.iter();
         let there = came.filter(|c| c.server == server && c.at >= since);
         there.map(|c| c.at).collect()
     }
 
-    /// The most requests that came to a server in one window from `since` on.
+    /// The largest number of requests at a server in one window from `since` on.
     pub fn worst(&self, server: usize, since: Time) -> usize {
         let arrivals = self.arrivals(server, since);
         let ends = arrivals.iter().enumerate().map(|(last, end)| {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Starts boxes and stand-ins as processes, and stops them with the test.
+//! Starts boxes and stand-ins as processes and ends them when the test ends.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -38,23 +38,26 @@
 pub const OTHER_KEY: &str = "other-key";
 pub const TOKEN: &str = "test-admin-token-0001";
 pub const SECRET: &str = "test-cluster-secret-0001";
-/// Long enough on a busy machine; a wait ends as soon as its condition holds.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
+/// Time limit of [`eventually`]; long, so that a busy machine does not fail a test.
+pub const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` holds; fails the test when it never does.
+/// Polls `condition` until it holds; panics after [`EVENTUALLY_TIMEOUT`].
 pub async fn eventually<F>(what: &str, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
-        sleep(POLL).await;
+        assert!(
+            start.elapsed() < EVENTUALLY_TIMEOUT,
+            "timed out waiting for: {what}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// What a process has written to standard output so far.
+/// The standard output of a process so far.
 #[derive(Clone, Default)]
 pub struct Log(Arc<Mutex<String>>);
 
@@ -84,13 +87,14 @@
         .expect("the program starts; build the workspace first");
     let out = child.stdout.take().expect("stdout is piped");
     let mut lines = BufReader::new(out).lines();
-    // The log goes to the same place.
-    let told = |line: &String| line.starts_with("public=") || line.starts_with("listening ");
+    // Log lines share standard output with the line that gives the addresses.
+    let is_address_line =
+        |line: &String| line.starts_with("public=") || line.starts_with("listening ");
     loop {
-        let line = lines.next_line().await.expect("stdout reads");
-        let line = line.expect("the program says where it listens");
+        let line = lines.next_line().await.expect("readable standard output");
+        let line = line.expect("a line with the listening addresses");
         log.push(&line);
-        if told(&line) {
+        if is_address_line(&line) {
             let rest = log.clone();
             tokio::spawn(async move {
                 while let Ok(Some(line)) = lines.next_line().await {
@@ -143,7 +147,7 @@
         answer.expect("the stand-in answers").json()
     }
 
-    /// How often an application service ran `id`.
+    /// Returns how often an application service ran `id`.
     pub async fn runs(&self, id: &str) -> u64 {
         self.counts().await[id].as_u64().unwrap_or(0)
     }
@@ -207,7 +211,7 @@
         self.status().await.version.0
     }
 
-    /// The value of a metric, without its prefix.
+    /// Returns the value of the metric `petreldrum_{name}`, or 0 if it is absent.
     pub async fn metric(&self, name: &str) -> f64 {
         let answer = call(self.admin, Method::GET, "/metrics", &[], "").await;
         let text = String::from_utf8_lossy(&answer.expect("metrics").body).into_owned();
@@ -232,7 +236,7 @@
             .expect("the box begins an answer")
     }
 
-    /// The boxes that "ask" names, with their key prefixes.
+    /// Returns the boxes that `/petreldrum/ask` lists, with their key prefixes.
     pub async fn ask(&self) -> Vec<Value> {
         let headers = [("x-api-key", API_KEY)];
         let answer = call(self.public, Method::GET, "/petreldrum/ask", &headers, "").await;
@@ -240,11 +244,11 @@
         content["boxes"].as_array().cloned().unwrap_or_default()
     }
 
-    /// A fresh key that names this box.
+    /// Returns an idempotency key with this box's key prefix, followed by `rest`.
     pub async fn key(&self, rest: &str) -> String {
         let boxes = self.ask().await;
         let mine = boxes.iter().find(|b| b["box"] == self.name.as_str());
-        let mine = mine.expect("the box names itself");
+        let mine = mine.expect("the box in its own list");
         format!("{}{rest}", mine["key_prefix"].as_str().expect("a prefix"))
     }
 
@@ -270,12 +274,12 @@
     })
 }
 
-/// What the engine answers to [`chat`].
+/// The text that the engine generates for [`chat`].
 pub fn tokens(content: &str, count: u64) -> String {
     (0..count).map(|i| format!("{content}#{i} ")).collect()
 }
 
-/// The text of a streamed answer; none where it does not end as a whole one does.
+/// The text of a streamed answer; `None` if the stream is incomplete.
 pub fn streamed(answer: &Answer) -> Option<String> {
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let lines: Vec<&str> = text.split("\n\n").filter(|l| !l.is_empty()).collect();
@@ -283,7 +287,7 @@
     if !answer.whole || *last != "data: [DONE]" {
         return None;
     }
-    let piece = |line: &&str| -> Option<String> {
+    let delta = |line: &&str| -> Option<String> {
         let content: Value = serde_json::from_str(line.strip_prefix("data: ")?).ok()?;
         Some(
             content["choices"][0]["delta"]["content"]
@@ -291,10 +295,10 @@
                 .to_owned(),
         )
     };
-    rest.iter().map(piece).collect()
+    rest.iter().map(delta).collect()
 }
 
-/// A backend server's section.
+/// A backend server's section of a configuration.
 pub fn backend(name: &str, address: SocketAddr, region: &str, serves: &str, more: &str) -> String {
     format!(
         "[backend {name}]\naddress = {address}\nregion = {region}\nfailure_domain = {region}-a\n\
@@ -302,7 +306,7 @@
     )
 }
 
-/// The sections that every test's configuration begins with.
+/// The common sections of the tests' configurations: regions, callers, a model and routes.
 pub fn preamble(regions: &[&str], home: &str) -> String {
     let mut text: String = regions
         .iter()
@@ -324,7 +328,7 @@
     text
 }
 
-/// A store, a platform and boxes.
+/// A store, a platform and box processes.
 pub struct World {
     pub store: Standin,
     pub platform: Standin,
@@ -357,13 +361,14 @@
         world
     }
 
-    /// Starts a box that greets all the others.
+    /// Starts a box whose seeds are all other boxes.
     pub async fn start_box(&mut self, name: &str, region: &str) {
         self.start_box_with(name, region, "").await;
     }
 
-    /// The same, with more sections in its settings.
-    pub async fn start_box_with(&mut self, name: &str, region: &str, more: &str) {
+    /// Starts a box with additional lines at the end of its settings: keys of `[limits]`, then
+    /// further sections.
+    pub async fn start_box_with(&mut self, name: &str, region: &str, extra: &str) {
         let seeds: Vec<String> = self
             .boxes
             .values()
@@ -381,7 +386,7 @@
              admin_token = {TOKEN}\n\
              [peers]\nsecret = {SECRET}\nseeds = {}\n\
              [platform]\nstore = {}\nlist = {}\n{trace}\
-             [limits]\nlinger = 1s\n{more}",
+             [limits]\nlinger = 1s\n{extra}",
             seeds.join(", "),
             self.store.address,
             self.platform.address,
@@ -390,7 +395,7 @@
         self.run_box(name, region).await;
     }
 
-    /// Starts the process of a box by its settings.
+    /// Starts the process of a box from its stored settings.
     pub async fn run_box(&mut self, name: &str, region: &str) {
         let path = self.dir.path().join(format!("{name}.ini"));
         fs::write(&path, &self.settings[name]).expect("the settings are written");
@@ -401,7 +406,7 @@
             let found = line.split(' ').find_map(|part| part.strip_prefix(key));
             found
                 .and_then(|a| a.parse().ok())
-                .expect("the box says where it listens")
+                .expect("a listening address of the box")
         };
         let process = BoxProcess {
             name: name.to_owned(),
@@ -419,15 +424,15 @@
         &self.boxes[name]
     }
 
-    /// Changes the configuration through `through` and waits until it is in force everywhere.
-    pub async fn configure(&self, through: &str, base: u64, text: &str) {
-        let answer = self.put(through, base, "test", text).await;
+    /// Changes the configuration through a box and waits until it is in force in every box.
+    pub async fn configure(&self, box_name: &str, base: u64, text: &str) {
+        let answer = self.put(box_name, base, "test", text).await;
         let body = String::from_utf8_lossy(&answer.body).into_owned();
-        assert!(answer.status.is_success(), "configuration: {body}");
+        assert!(answer.status.is_success(), "configuration refused: {body}");
         self.in_force(base + 1).await;
     }
 
-    pub async fn put(&self, through: &str, base: u64, author: &str, text: &str) -> Answer {
+    pub async fn put(&self, box_name: &str, base: u64, author: &str, text: &str) -> Answer {
         let bearer = format!("Bearer {TOKEN}");
         let base = format!("v{base}");
         let headers = [
@@ -436,7 +441,7 @@
             ("x-author", author),
         ];
         call(
-            self.get(through).admin,
+            self.get(box_name).admin,
             Method::PUT,
             "/config",
             &headers,
@@ -456,13 +461,13 @@
         }
     }
 
-    /// Waits until every box knows a place for a request of `ward`: a digest that tells of doors may
-    /// be older than the configuration and tell of no capacity yet.
+    /// Waits until every box knows a candidate for a request of `ward`. A digest that already lists
+    /// boxes for relays may be older than the configuration and report no capacity yet.
     pub async fn places(&self, path: &str, model: Option<&str>) {
         let question = json!({ "caller": "ward", "path": path, "model": model });
         for process in self.boxes.values() {
             eventually(
-                &format!("{} has a place for {path}", process.name),
+                &format!("{} has a candidate for {path}", process.name),
                 || async {
                     let answer = process
                         .admin(Method::POST, "/explain", question.clone())
@@ -475,11 +480,11 @@
         }
     }
 
-    /// Waits until every box of `region` hears the regions `others`.
+    /// Waits until every box of `region` knows boxes for relays in at least `others` regions.
     pub async fn hears(&self, region: &str, others: usize) {
         for process in self.boxes.values().filter(|b| b.region == region) {
             eventually(
-                &format!("{} hears {others} regions", process.name),
+                &format!("{} knows boxes in {others} regions", process.name),
                 || async {
                     let status = process.status().await;
                     status
--- a/tests/harness/oracle.rs
+++ b/tests/harness/oracle.rs
@@ -1,7 +1,8 @@
-//! A simple oracle over a few reducers: it knows what must hold and nothing of how.
+//! Checks the invariants of a few reducers in a simulated network, independently of their
+//! implementation.
 //!
-//! The fakes around the reducers are bags of things under way. Each fuzz step picks one to
-//! deliver, lose, double or delay, or brings a fault; after each step the oracle checks.
+//! Messages, attempts and outcomes wait in one unordered set. Each fuzz step delivers, loses,
+//! duplicates or delays one of them, or injects a fault. The oracle checks as they are delivered.
 
 mod delivery;
 mod layout;
@@ -31,42 +32,42 @@
 
 use layout::{API_KEYS, BOXES, REGIONS, address, config, contact, gossip, peer, permitted, region};
 
-/// One step: what to do, and two choices for it.
+/// One fuzz step: the kind of action and two parameters.
 pub type Step = (u8, u8, u8);
 
-/// What a caller sent.
+/// One request sent by a caller.
 #[derive(Clone, Debug)]
 struct Sent {
-    /// The thing asked for; re-sends of a key ask for the same.
-    wish: usize,
+    /// Index of the requested operation; re-sends of a key share it.
+    operation: usize,
     answered: bool,
 }
 
-/// One thing that callers ask for.
+/// An operation that callers request, possibly with several sends of one key.
 #[derive(Clone, Debug)]
-struct Wish {
+struct Operation {
     caller: usize,
     path: &'static str,
     key: Option<pin::Key>,
     runs: u32,
-    /// Once a caller was told "not run": sends before this number must never run.
+    /// Set once a caller was answered "not run": sends before this index must never run.
     barred_before: Option<usize>,
 }
 
-/// Who waits for a request of a box.
+/// The party that waits for a box's answer to a request.
 #[derive(Clone, Copy, Debug)]
 enum Client {
     Caller(usize),
     Box {
         at: usize,
-        life: u64,
+        incarnation: u64,
         request: id::Request,
         attempt: id::Attempt,
         pass: bool,
     },
 }
 
-/// How an attempt or a relayed request ended.
+/// Progress or end of an attempt or relayed request.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
     Failed(Verdict, Cause),
@@ -75,7 +76,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Item {
+enum InFlight {
     Frame {
         to: usize,
         from: usize,
@@ -83,14 +84,14 @@
     },
     Attempt {
         from: usize,
-        life: u64,
+        incarnation: u64,
         root: usize,
         send: Send,
         hop: Hop,
     },
     Outcome {
         to: usize,
-        life: u64,
+        incarnation: u64,
         request: id::Request,
         attempt: id::Attempt,
         outcome: Outcome,
@@ -99,45 +100,46 @@
 
 struct Slot {
     state: State<Balanced>,
-    life: u64,
+    incarnation: u64,
     started: Time,
     alive: bool,
     frozen: bool,
     inbox: VecDeque<Event>,
     requests: u64,
     clients: HashMap<id::Request, (Client, usize, Hop)>,
-    /// The attempt whose connection is open; an older one's answer reaches nobody.
+    /// The attempt whose connection is open; answers of older attempts are discarded.
     open: HashMap<id::Request, id::Attempt>,
-    /// Requests whose caller went away; they are owed no answer.
-    left: BTreeSet<u64>,
+    /// Requests whose caller disconnected; they need no answer.
+    abandoned: BTreeSet<u64>,
     listed: BTreeSet<SocketAddr>,
 }
 
-/// The boxes and everything under way between them, their callers and the backend servers.
+/// The simulated boxes and all messages in flight between them, their callers and the backend
+/// servers.
 pub struct Net {
     slots: Vec<Slot>,
     now: Time,
-    items: Vec<Item>,
+    in_flight: Vec<InFlight>,
     sent: Vec<Sent>,
-    wishes: Vec<Wish>,
+    operations: Vec<Operation>,
     configs: Vec<Arc<Config>>,
-    cut: bool,
-    lives: u64,
+    partitioned: bool,
+    last_incarnation: u64,
     listed: BTreeSet<SocketAddr>,
 }
 
 impl Net {
-    /// All boxes up, ready, and acquainted, with the first configuration.
+    /// Starts all boxes with the first configuration and lets them discover each other.
     pub fn new() -> Self {
         let mut net = Self {
             slots: Vec::new(),
             now: Time(0),
-            items: Vec::new(),
+            in_flight: Vec::new(),
             sent: Vec::new(),
-            wishes: Vec::new(),
+            operations: Vec::new(),
             configs: vec![config(1, 0)],
-            cut: false,
-            lives: 0,
+            partitioned: false,
+            last_incarnation: 0,
             listed: BTreeSet::new(),
         };
         for index in 0..BOXES {
@@ -152,14 +154,14 @@
     }
 
     fn slot(&mut self, index: usize) -> Slot {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let seeds = (0..BOXES).filter(|i| *i != index).map(|i| Seed {
             region: Some(region(i).parse().expect("a name")),
             gossip: gossip(i),
         });
         let identity = Identity {
             contact: contact(index),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.last_incarnation),
             seeds: seeds.collect(),
             retry: Default::default(),
             registry: false,
@@ -169,7 +171,7 @@
         };
         Slot {
             state: State::new(identity, Balanced),
-            life: self.lives,
+            incarnation: self.last_incarnation,
             started: self.now,
             alive: true,
             frozen: false,
@@ -177,17 +179,18 @@
             requests: 0,
             clients: HashMap::new(),
             open: HashMap::new(),
-            left: BTreeSet::new(),
+            abandoned: BTreeSet::new(),
             listed: BTreeSet::new(),
         }
     }
 
-    /// Lets time pass with everything delivered in order.
+    /// Advances time by `ticks` of 100 ms, delivering in order and without faults, at most 2000
+    /// messages per tick.
     pub fn settle(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.advance(100);
             for _ in 0..2000 {
-                if self.items.is_empty() {
+                if self.in_flight.is_empty() {
                     break;
                 }
                 self.deliver(0, 0);
@@ -198,18 +201,18 @@
     fn advance(&mut self, millis: u64) {
         self.now = self.now + Millis(millis);
         for index in 0..BOXES {
-            self.tell(index, Event::Tick);
+            self.dispatch(index, Event::Tick);
         }
     }
 
     fn offer(&mut self, index: usize, config: usize) {
         let config = self.configs[config].clone();
         let source = Source::Store;
-        self.tell(index, Event::Offered { config, source });
+        self.dispatch(index, Event::Offered { config, source });
     }
 
-    /// Brings an event to a box; a frozen one gets it when it wakes, a dead one never.
-    fn tell(&mut self, index: usize, event: Event) {
+    /// Passes an event to a box. A frozen box gets it once it resumes, a stopped box never.
+    fn dispatch(&mut self, index: usize, event: Event) {
         let slot = &mut self.slots[index];
         if !slot.alive {
             return;
@@ -224,30 +227,33 @@
         let before = slot.state.version();
         let now = Time(self.now.since(slot.started).0);
         let effects = slot.state.step(now, event);
-        assert!(slot.state.version() >= before, "a configuration reverted");
-        // A fetch takes its time: what was decided beside it goes out before it brings anything.
+        assert!(
+            slot.state.version() >= before,
+            "the configuration version went back"
+        );
+        // A fetch completes later than the other effects of the same step, so it is applied last.
         let (fetches, others): (Vec<_>, Vec<_>) = effects
             .into_iter()
             .partition(|e| matches!(e, Effect::Fetch { .. }));
         for effect in others.into_iter().chain(fetches) {
-            self.carry_out(index, effect);
+            self.apply_effect(index, effect);
         }
     }
 
-    fn carry_out(&mut self, index: usize, effect: Effect) {
+    fn apply_effect(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Gossip { to, frame } => {
                 if let Some(to) = (0..BOXES).find(|i| gossip(*i) == to) {
                     let from = index;
-                    self.items.push(Item::Frame { to, from, frame });
+                    self.in_flight.push(InFlight::Frame { to, from, frame });
                 }
             }
-            Effect::Send(send) => self.sending(index, send),
+            Effect::Send(send) => self.check_send(index, send),
             Effect::Reply { request, reply } => {
-                self.closing(index, request, reply.verdict, None);
+                self.check_reply(index, request, reply.verdict, None);
             }
             Effect::Replay { request, answer } => {
-                self.closing(index, request, Verdict::Ran, Some(answer));
+                self.check_reply(index, request, Verdict::Ran, Some(answer));
             }
             Effect::Fetch {
                 peer: from,
@@ -289,58 +295,58 @@
             return;
         };
         let slot = &self.slots[other];
-        let apart = self.cut && region(other) != region(index);
-        if apart || !slot.alive || slot.frozen || slot.state.version() < version {
+        let unreachable = self.partitioned && region(other) != region(index);
+        if unreachable || !slot.alive || slot.frozen || slot.state.version() < version {
             return;
         }
         if let Some(config) = slot.state.config().cloned() {
             let source = Source::Peer;
-            self.tell(index, Event::Offered { config, source });
+            self.dispatch(index, Event::Offered { config, source });
         }
     }
 
-    /// A caller asks for something new at box `index`; the key names box `named`.
-    pub fn wish(&mut self, index: usize, named: usize, book: bool, caller: usize) {
+    /// Sends a new operation to box `index`; its key, if it has one, names box `named`.
+    pub fn start_operation(&mut self, index: usize, named: usize, book: bool, caller: usize) {
         let slot = &self.slots[named];
         let uptime = Time(self.now.since(slot.started).0);
-        let number = self.wishes.len() as u64;
+        let number = self.operations.len() as u64;
         let key = book.then(|| pin::Key {
             pin: pin::Pin {
                 peer: peer(named),
-                incarnation: Incarnation(slot.life),
+                incarnation: Incarnation(slot.incarnation),
                 expiry: uptime + pin::LIFE,
             },
             digest: pin::Digest::of(&format!("key-{number}")),
             content: number,
         });
-        self.wishes.push(Wish {
+        self.operations.push(Operation {
             caller,
             path: if book { "/book" } else { "/read" },
             key,
             runs: 0,
             barred_before: None,
         });
-        self.send(index, self.wishes.len() - 1);
+        self.send(index, self.operations.len() - 1);
     }
 
-    /// A caller sends a wish, for the first time or again.
-    pub fn send(&mut self, index: usize, wish: usize) {
-        let wish = match self.wishes[wish].key {
-            Some(_) => wish,
-            // Nothing ties two sends without a key together: each is a request of its own.
+    /// Sends an operation to box `index`, for the first time or again.
+    pub fn send(&mut self, index: usize, operation: usize) {
+        let operation = match self.operations[operation].key {
+            Some(_) => operation,
+            // Sends without a key are independent, so each one is an operation of its own.
             None => {
-                let fresh = Wish {
+                let fresh = Operation {
                     runs: 0,
                     barred_before: None,
-                    ..self.wishes[wish].clone()
+                    ..self.operations[operation].clone()
                 };
-                self.wishes.push(fresh);
-                self.wishes.len() - 1
+                self.operations.push(fresh);
+                self.operations.len() - 1
             }
         };
         let root = self.sent.len();
         self.sent.push(Sent {
-            wish,
+            operation,
             answered: false,
         });
         if self.slots[index].alive {
@@ -348,7 +354,7 @@
         }
     }
 
-    fn gone(&mut self, pick: usize) {
+    fn disconnect_caller(&mut self, pick: usize) {
         let index = pick % BOXES;
         let waiting: BTreeMap<u64, usize> = self.slots[index]
             .clients
@@ -357,8 +363,8 @@
             .map(|(r, (_, root, _))| (r.0, *root))
             .collect();
         if let Some((request, _)) = waiting.iter().nth(pick % waiting.len().max(1)) {
-            self.slots[index].left.insert(*request);
-            self.tell(index, Event::Gone(id::Request(*request)));
+            self.slots[index].abandoned.insert(*request);
+            self.dispatch(index, Event::Gone(id::Request(*request)));
             let holds = self.slots[index].state.holds(id::Request(*request));
             if !holds && !self.slots[index].frozen {
                 self.slots[index].clients.remove(&id::Request(*request));
@@ -366,11 +372,11 @@
         }
     }
 
-    fn thaw(&mut self, index: usize) {
+    fn unfreeze(&mut self, index: usize) {
         self.slots[index].frozen = false;
         let inbox = std::mem::take(&mut self.slots[index].inbox);
         for event in inbox {
-            self.tell(index, event);
+            self.dispatch(index, event);
         }
     }
 
@@ -379,50 +385,52 @@
         self.slots[index] = slot;
     }
 
-    fn change(&mut self, shape: u8, index: usize) {
+    fn change_config(&mut self, shape: u8, index: usize) {
         let version = self.configs.len() as u64 + 1;
         self.configs.push(config(version, shape));
         self.offer(index, self.configs.len() - 1);
     }
 
-    /// One step of the fuzz.
-    pub fn step(&mut self, (what, a, b): Step) {
+    /// Executes one fuzz step.
+    pub fn step(&mut self, (kind, a, b): Step) {
         let (x, y) = (usize::from(a), usize::from(b));
-        match what % 24 {
-            0..=3 => self.wish(x % BOXES, y % BOXES, b & 16 == 0, usize::from(b >> 5 & 1)),
-            4..=6 if !self.wishes.is_empty() => self.send(x % BOXES, y % self.wishes.len()),
+        match kind % 24 {
+            0..=3 => {
+                self.start_operation(x % BOXES, y % BOXES, b & 16 == 0, usize::from(b >> 5 & 1))
+            }
+            4..=6 if !self.operations.is_empty() => self.send(x % BOXES, y % self.operations.len()),
             7..=13 => self.deliver(x, b),
             14 => self.settle(1),
             15 => self.advance(u64::from(a) * 4),
-            16 => self.gone(x),
+            16 => self.disconnect_caller(x),
             17 => self.slots[x % BOXES].alive = false,
             18 => self.restart(x % BOXES),
             19 => self.slots[x % BOXES].frozen = true,
-            20 => self.thaw(x % BOXES),
-            21 => self.change(a, y % BOXES),
+            20 => self.unfreeze(x % BOXES),
+            21 => self.change_config(a, y % BOXES),
             22 if b & 1 == 0 => self.offer(x % BOXES, y % self.configs.len()),
-            22 => self.cut = !self.cut,
+            22 => self.partitioned = !self.partitioned,
             23 if b & 1 == 0 => {
                 let listed = address(4000 + x % REGIONS.len());
                 if !self.listed.remove(&listed) {
                     self.listed.insert(listed);
                 }
                 let listed = self.listed.clone();
-                self.tell(y % BOXES, Event::Listed(listed));
+                self.dispatch(y % BOXES, Event::Listed(listed));
             }
             23 if a > 250 => self.advance(pin::LIFE.0),
             _ => self.settle(1),
         }
     }
 
-    /// Ends all faults; afterwards nothing may be left in hand, and nothing remembered.
+    /// Ends all faults and checks that no request remains in a box and that all keys expire.
     pub fn finish(&mut self) {
-        self.cut = false;
+        self.partitioned = false;
         for index in 0..BOXES {
             if !self.slots[index].alive {
                 self.restart(index);
             }
-            self.thaw(index);
+            self.unfreeze(index);
         }
         self.settle(40);
         let newest = self.configs.len() - 1;
@@ -430,21 +438,25 @@
         self.settle(40);
         for (index, slot) in self.slots.iter().enumerate() {
             let version = self.configs[newest].version;
-            assert_eq!(slot.state.version(), version, "box {index} lags");
+            assert_eq!(
+                slot.state.version(),
+                version,
+                "box {index} has an older configuration"
+            );
             assert_eq!(slot.state.busy(), 0, "box {index} holds requests");
             assert_eq!(
                 slot.state.waiting(),
                 0,
-                "box {index} has a line without requests"
+                "box {index} counts queued requests after the end"
             );
             let now = Time(self.now.since(slot.started).0);
             let busy: u32 = slot.state.status(now).backends.iter().map(|b| b.busy).sum();
-            assert_eq!(busy, 0, "box {index} counts work that has ended");
-            let owed = slot.clients.keys().map(|r| r.0);
-            let owed = owed
-                .filter(|r| *r < u64::MAX / 2 && !slot.left.contains(r))
+            assert_eq!(busy, 0, "box {index} counts ended requests as busy");
+            let unanswered = slot.clients.keys().map(|r| r.0);
+            let unanswered = unanswered
+                .filter(|r| *r < u64::MAX / 2 && !slot.abandoned.contains(r))
                 .count();
-            assert_eq!(owed, 0, "box {index} owes answers");
+            assert_eq!(unanswered, 0, "box {index} has unanswered requests");
         }
         self.advance(pin::LIFE.0 + 10_000);
         self.settle(40);
--- a/tests/harness/oracle/delivery.rs
+++ b/tests/harness/oracle/delivery.rs
@@ -1,4 +1,4 @@
-//! How requests, outcomes and messages reach boxes and backend servers.
+//! Delivers requests, outcomes and messages to boxes and backend servers.
 
 use super::*;
 
@@ -9,21 +9,21 @@
         client: Client,
         root: usize,
         hop: Hop,
-        left: Millis,
+        time_left: Millis,
     ) {
-        let wish = self.wishes[self.sent[root].wish].clone();
+        let operation = self.operations[self.sent[root].operation].clone();
         let slot = &mut self.slots[index];
         let request = id::Request(slot.requests);
         slot.requests += 1;
         slot.clients.insert(request, (client, root, hop.clone()));
-        // Kept aside under another number, to know whose answer a replay is.
-        let aside = id::Request(u64::MAX - request.0);
-        slot.clients.insert(aside, (client, root, hop.clone()));
-        let key_hash = KeyHash::of(API_KEYS[wish.caller].as_bytes());
+        // A second entry outlives the answer and identifies the operation of a later replay.
+        let alias = id::Request(u64::MAX - request.0);
+        slot.clients.insert(alias, (client, root, hop.clone()));
+        let key_hash = KeyHash::of(API_KEYS[operation.caller].as_bytes());
         let credential = match hop {
             Hop::Direct => Credential::Key(key_hash),
             Hop::Relay(_) | Hop::Pass => {
-                Credential::Vouched(format!("c{}", wish.caller).parse().expect("a name"))
+                Credential::Vouched(format!("c{}", operation.caller).parse().expect("a name"))
             }
         };
         let arrival = Arrival {
@@ -35,21 +35,21 @@
             runs: None,
             request,
             credential,
-            path: wish.path.to_owned(),
+            path: operation.path.to_owned(),
             model: None,
             prefix: 0,
-            key: wish.key.map_or(Key::Absent, Key::Good),
-            left: Some(left),
+            key: operation.key.map_or(Key::Absent, Key::Good),
+            left: Some(time_left),
             hop,
         };
-        self.tell(index, Event::Arrived(arrival));
+        self.dispatch(index, Event::Arrived(arrival));
     }
 
     pub(super) fn fail(&mut self, index: usize, send: &Send, verdict: Verdict, cause: Cause) {
         if self.slots[index].open.get(&send.request) == Some(&send.attempt) {
             self.slots[index].open.remove(&send.request);
         }
-        self.tell(
+        self.dispatch(
             index,
             Event::Failed {
                 request: send.request,
@@ -60,56 +60,57 @@
         );
     }
 
-    /// Delivers one thing under way; `how` picks among the ways it may go.
-    pub(super) fn deliver(&mut self, pick: usize, how: u8) {
-        if self.items.is_empty() {
+    /// Takes one entry out of those in flight and delivers it; `fate` selects loss, duplication or
+    /// a fault.
+    pub(super) fn deliver(&mut self, pick: usize, fate: u8) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let item = self.items.remove(pick % self.items.len());
+        let item = self.in_flight.remove(pick % self.in_flight.len());
         match item {
-            Item::Frame { to, from, frame } => {
-                if how % 8 == 7 {
+            InFlight::Frame { to, from, frame } => {
+                if fate % 8 == 7 {
                     let frame = frame.clone();
-                    self.items.push(Item::Frame { to, from, frame });
+                    self.in_flight.push(InFlight::Frame { to, from, frame });
                 }
-                let apart = self.cut && region(to) != region(from);
-                if !apart && how % 8 != 6 {
-                    self.tell(to, Event::Heard(frame));
+                let unreachable = self.partitioned && region(to) != region(from);
+                if !unreachable && fate % 8 != 6 {
+                    self.dispatch(to, Event::Heard(frame));
                 }
             }
-            Item::Attempt {
+            InFlight::Attempt {
                 from,
-                life,
+                incarnation,
                 root,
                 send,
                 hop,
-            } => self.attempt(from, life, root, send, hop, how),
-            Item::Outcome {
+            } => self.attempt(from, incarnation, root, send, hop, fate),
+            InFlight::Outcome {
                 to,
-                life,
+                incarnation,
                 request,
                 attempt,
                 outcome,
-            } => self.outcome(to, life, request, attempt, outcome),
+            } => self.outcome(to, incarnation, request, attempt, outcome),
         }
     }
 
     pub(super) fn outcome(
         &mut self,
         to: usize,
-        life: u64,
+        incarnation: u64,
         request: id::Request,
         attempt: id::Attempt,
         outcome: Outcome,
     ) {
-        if self.slots[to].life != life {
+        if self.slots[to].incarnation != incarnation {
             return;
         }
         if self.slots[to].frozen {
-            // Its connection stands still with it.
-            return self.items.push(Item::Outcome {
+            // The connection is frozen with the box.
+            return self.in_flight.push(InFlight::Outcome {
                 to,
-                life,
+                incarnation,
                 request,
                 attempt,
                 outcome,
@@ -135,10 +136,10 @@
                 cause,
             },
         };
-        self.tell(to, event);
+        self.dispatch(to, event);
     }
 
-    /// A streamed answer ends at `index`: whoever waits there has it, whole or cut.
+    /// Ends a streamed answer at box `index` and forwards its end, complete or not, to the client.
     pub(super) fn close_streamed(&mut self, index: usize, request: id::Request, whole: bool) {
         let Some((client, root, _)) = self.slots[index].clients.remove(&request) else {
             return;
@@ -147,14 +148,14 @@
             Client::Caller(_) => self.sent[root].answered = true,
             Client::Box {
                 at,
-                life,
+                incarnation,
                 request,
                 attempt,
                 ..
             } => {
-                self.under_way(
+                self.queue_outcomes(
                     at,
-                    life,
+                    incarnation,
                     request,
                     attempt,
                     &[Outcome::Begun, Outcome::Ended(whole)],
@@ -166,22 +167,24 @@
     pub(super) fn attempt(
         &mut self,
         from: usize,
-        life: u64,
+        incarnation: u64,
         root: usize,
         send: Send,
         hop: Hop,
-        how: u8,
+        fate: u8,
     ) {
-        let current = self.slots[from].life == life && self.slots[from].alive;
+        let current = self.slots[from].incarnation == incarnation && self.slots[from].alive;
         let target = match &send.target {
-            Target::Backend { .. } => return self.at_backend(from, life, root, &send, how),
+            Target::Backend { .. } => {
+                return self.attempt_at_backend(from, incarnation, root, &send, fate);
+            }
             Target::Relay { peer, .. } | Target::Pass { peer } => *peer,
         };
         let Some(to) = (0..BOXES).find(|i| peer(*i) == target) else {
             return;
         };
-        let apart = self.cut && region(to) != region(from);
-        if apart || !self.slots[to].alive || how % 8 == 6 {
+        let unreachable = self.partitioned && region(to) != region(from);
+        if unreachable || !self.slots[to].alive || fate % 8 == 6 {
             if current {
                 self.fail(from, &send, Verdict::NotRun, Cause::Unreachable);
             }
@@ -192,38 +195,45 @@
             true => Hop::Pass,
             false => Hop::Relay(region(from).parse().expect("a name")),
         };
-        assert_eq!(hop, Hop::Direct, "passed on twice");
+        assert_eq!(hop, Hop::Direct, "relayed or passed twice");
         let client = Client::Box {
             at: from,
-            life,
+            incarnation,
             request: send.request,
             attempt: send.attempt,
             pass,
         };
         self.arrive(to, client, root, next, Millis(1500));
-        if how % 8 == 5 && current {
-            // It arrived, and then the connection broke.
+        if fate % 8 == 5 && current {
+            // The request arrived before the connection broke.
             self.fail(from, &send, Verdict::MayHaveRun, Cause::Broken);
         }
     }
 
-    pub(super) fn at_backend(&mut self, from: usize, life: u64, root: usize, send: &Send, how: u8) {
+    pub(super) fn attempt_at_backend(
+        &mut self,
+        from: usize,
+        incarnation: u64,
+        root: usize,
+        send: &Send,
+        fate: u8,
+    ) {
         let fail = |net: &mut Self, verdict, cause| {
-            if net.slots[from].life == life {
+            if net.slots[from].incarnation == incarnation {
                 net.fail(from, send, verdict, cause);
             }
         };
-        match how % 8 {
+        match fate % 8 {
             4 => fail(self, Verdict::NotRun, Cause::Refused),
             5 => fail(self, Verdict::NotRun, Cause::Unreachable),
             6 => {
-                self.run(root);
+                self.check_run(root);
                 fail(self, Verdict::MayHaveRun, Cause::Broken);
             }
             other => {
-                self.run(root);
+                self.check_run(root);
                 let outcomes = [Outcome::Begun, Outcome::Ended(other != 3)];
-                self.under_way(from, life, send.request, send.attempt, &outcomes);
+                self.queue_outcomes(from, incarnation, send.request, send.attempt, &outcomes);
             }
         }
     }
--- a/tests/harness/oracle/layout.rs
+++ b/tests/harness/oracle/layout.rs
@@ -1,4 +1,4 @@
-//! Where the oracle's boxes and backend servers stand, and the configurations that it plays.
+//! The addresses and regions of the oracle's boxes and backend servers, and its configurations.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -39,7 +39,8 @@
     }
 }
 
-/// The n-th configuration: which places are open is read off the bits of `shape`.
+/// Returns a configuration. Bits 0 and 1 of `shape` say which region's backend server is leaving,
+/// bits 2 and 3 which regions caller c0 may use.
 pub(super) fn config(version: u64, shape: u8) -> Arc<Config> {
     let mut text: String = REGIONS
         .iter()
@@ -70,10 +71,11 @@
         author: "fuzz".to_owned(),
         text,
     };
-    Arc::new(Config::parse("fuzz", &envelope).expect("the configuration checks"))
+    Arc::new(Config::parse("fuzz", &envelope).expect("a valid configuration"))
 }
 
-/// Whether `caller` may run in `region`, read off the shape's text anew.
+/// Reports whether `caller` may run in `region`, computed from the selectors independently of the
+/// reducer.
 pub(super) fn permitted(config: &Config, caller: usize, region: &str) -> bool {
     let selector = &config.selectors[usize::from(caller != 0)];
     let open = selector.regions.is_empty() || selector.regions.iter().any(|r| r.as_str() == region);
--- a/tests/harness/oracle/promises.rs
+++ b/tests/harness/oracle/promises.rs
@@ -1,54 +1,57 @@
-//! What must hold of attempts, answers and runs, checked as they happen.
+//! Checks the invariants of attempts, answers and runs as they happen.
 
 use super::*;
 
 impl Net {
-    /// An attempt leaves a box: the place must be allowed there and then.
-    pub(super) fn sending(&mut self, index: usize, send: Send) {
+    /// Checks that the target of an attempt is permitted when it is sent, and puts it in flight.
+    pub(super) fn check_send(&mut self, index: usize, send: Send) {
         let (_, root, hop) = self.slots[index].clients[&send.request].clone();
-        let wish = &self.wishes[self.sent[root].wish];
+        let operation = &self.operations[self.sent[root].operation];
         let slot = &self.slots[index];
         let config = slot
             .state
             .config()
-            .expect("no work without a configuration");
+            .expect("a configuration before the first attempt");
         match &send.target {
             Target::Backend { name, address, .. } => {
                 let backend = &config.backends[name];
                 assert_eq!(
                     backend.region.as_str(),
                     region(index),
-                    "another region's server"
+                    "backend server of another region"
                 );
                 assert!(
-                    permitted(config, wish.caller, region(index)),
-                    "outside the regions"
+                    permitted(config, operation.caller, region(index)),
+                    "backend server in a region that is not permitted"
+                );
+                assert!(!backend.leaving, "attempt at a leaving server");
+                assert!(
+                    !slot.listed.contains(address),
+                    "attempt at a server listed as leaving"
                 );
-                assert!(!backend.leaving, "work for a leaving server");
-                assert!(!slot.listed.contains(address), "work for a listed server");
             }
             Target::Relay { region, .. } => {
-                assert_eq!(hop, Hop::Direct, "passed on twice");
+                assert_eq!(hop, Hop::Direct, "relayed or passed twice");
                 assert!(
-                    permitted(config, wish.caller, region.as_str()),
-                    "relay outside"
+                    permitted(config, operation.caller, region.as_str()),
+                    "relay to a region that is not permitted"
                 );
             }
-            Target::Pass { .. } => assert_eq!(hop, Hop::Direct, "passed on twice"),
+            Target::Pass { .. } => assert_eq!(hop, Hop::Direct, "relayed or passed twice"),
         }
-        let life = slot.life;
+        let incarnation = slot.incarnation;
         self.slots[index].open.insert(send.request, send.attempt);
-        self.items.push(Item::Attempt {
+        self.in_flight.push(InFlight::Attempt {
             from: index,
-            life,
+            incarnation,
             root,
             send,
             hop,
         });
     }
 
-    /// A box gives a request its final answer.
-    pub(super) fn closing(
+    /// Handles a box's final answer to a request; a replay must belong to the same operation.
+    pub(super) fn check_reply(
         &mut self,
         index: usize,
         request: id::Request,
@@ -60,77 +63,79 @@
         if let Some(answer) = replay {
             let (_, owner, _) = &slot.clients[&id::Request(u64::MAX - answer.0)];
             assert_eq!(
-                self.sent[*owner].wish, self.sent[root].wish,
+                self.sent[*owner].operation, self.sent[root].operation,
                 "another request's answer"
             );
         }
         match client {
-            Client::Caller(_) => self.answered(root, verdict),
+            Client::Caller(_) => self.check_answer(root, verdict),
             Client::Box {
                 at,
-                life,
+                incarnation,
                 request,
                 attempt,
                 pass,
             } => {
                 let outcomes = match verdict {
-                    // The owner's last word goes to the caller as it is.
+                    // A passed request's answer reaches the caller unchanged.
                     _ if pass => {
-                        self.answered(root, verdict);
+                        self.check_answer(root, verdict);
                         vec![Outcome::Begun, Outcome::Ended(true)]
                     }
                     Verdict::Ran => vec![Outcome::Begun, Outcome::Ended(true)],
                     Verdict::NotRun => vec![Outcome::Failed(verdict, Cause::Refused)],
                     Verdict::MayHaveRun => vec![Outcome::Failed(verdict, Cause::Broken)],
                 };
-                self.under_way(at, life, request, attempt, &outcomes);
+                self.queue_outcomes(at, incarnation, request, attempt, &outcomes);
             }
         }
     }
 
-    /// Puts outcomes of an attempt on their way to the box that waits for them.
-    pub(super) fn under_way(
+    /// Puts outcomes of an attempt in flight to the box that waits for them.
+    pub(super) fn queue_outcomes(
         &mut self,
         to: usize,
-        life: u64,
+        incarnation: u64,
         request: id::Request,
         attempt: id::Attempt,
         outcomes: &[Outcome],
     ) {
-        let item = |outcome: &Outcome| Item::Outcome {
+        let item = |outcome: &Outcome| InFlight::Outcome {
             to,
-            life,
+            incarnation,
             request,
             attempt,
             outcome: *outcome,
         };
-        self.items.extend(outcomes.iter().map(item));
+        self.in_flight.extend(outcomes.iter().map(item));
     }
 
-    pub(super) fn answered(&mut self, root: usize, verdict: Verdict) {
+    /// Checks the verdict that a caller received against the runs of its operation.
+    pub(super) fn check_answer(&mut self, root: usize, verdict: Verdict) {
         let count = self.sent.len();
         let sent = &mut self.sent[root];
         sent.answered = true;
-        let wish = &mut self.wishes[sent.wish];
+        let operation = &mut self.operations[sent.operation];
         if verdict == Verdict::NotRun {
             assert_eq!(
-                wish.runs, 0,
-                "told \"not run\", and it had run: send {root}"
+                operation.runs, 0,
+                "answered \"not run\" after a run: send {root}"
             );
-            wish.barred_before = Some(count);
+            operation.barred_before = Some(count);
         }
         if verdict == Verdict::Ran {
-            assert!(wish.runs > 0, "told \"ran\", and it had not");
+            assert!(operation.runs > 0, "answered \"ran\" without a run");
         }
     }
 
-    pub(super) fn run(&mut self, root: usize) {
-        let wish = &mut self.wishes[self.sent[root].wish];
-        wish.runs += 1;
-        if wish.path == "/book" {
-            assert_eq!(wish.runs, 1, "ran twice: send {root}");
+    /// Counts a run and checks that it is permitted.
+    pub(super) fn check_run(&mut self, root: usize) {
+        let operation = &mut self.operations[self.sent[root].operation];
+        operation.runs += 1;
+        if operation.path == "/book" {
+            assert_eq!(operation.runs, 1, "ran twice: send {root}");
         }
-        let barred = wish.barred_before.is_some_and(|before| root < before);
+        let barred = operation.barred_before.is_some_and(|before| root < before);
         assert!(!barred, "ran after \"not run\": send {root}");
     }
 }
--- a/tests/harness/solo.rs
+++ b/tests/harness/solo.rs
@@ -1,4 +1,4 @@
-//! One reducer with a hand on its clock.
+//! Simulates one box, as its reducer alone, with a clock that the test advances.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Perth and Bunbury; callers `a` and `b`; a repeatable route `/read`.
+/// Settings of the regions Perth and Bunbury and of a repeatable route `/read`.
 pub const BASE: &str = "[region perth]\nhop=40ms\n[region bunbury]\nhop=40ms\n\
     [route read]\nprefix=/read\nkind=application\nrepeatable=true\ndeadline=2s\n";
 
@@ -47,19 +47,19 @@
     )
 }
 
-/// The store tells of backend servers.
+/// A change of the backend servers, as the store reports it.
 pub fn news(change: Change) -> Event {
     let revision = Revision::first(1);
     Event::Fleet { change, revision }
 }
 
-/// The store tells which failure domains are evacuated.
+/// The set of evacuated failure domains, as the store reports it.
 pub fn evacuated(domains: BTreeSet<Domain>) -> Event {
     let revision = Revision::first(1);
     Event::Evacuated { domains, revision }
 }
 
-/// A request for `/read` comes from a caller.
+/// The arrival of a request for `/read` from a caller.
 pub fn arrival(number: u64, caller: &str, left: Option<Millis>) -> Event {
     Event::Arrived(Arrival {
         content: Default::default(),
@@ -128,7 +128,7 @@
             author: String::new(),
             text: text.to_owned(),
         };
-        let config = Arc::new(Config::parse("test", &envelope).expect("checks"));
+        let config = Arc::new(Config::parse("test", &envelope).expect("a valid configuration"));
         let source = Source::Store;
         self.step(Event::Offered { config, source })
     }
@@ -137,7 +137,7 @@
         self.state.step(self.now, event)
     }
 
-    /// Lets time pass, tick by tick.
+    /// Advances time tick by tick and returns all effects.
     pub fn pass(&mut self, millis: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
         for _ in 0..millis / 100 {
@@ -147,21 +147,22 @@
         effects
     }
 
-    /// A digest of Bunbury with `slots` for the route, `busy` of them in use.
+    /// Delivers a digest of Bunbury with `slots` for the route, `busy` of them in use.
     pub fn digest(&mut self, slots: u32, busy: u32) {
-        self.digest_by(slots, busy, &["far"]);
+        self.digest_from(slots, busy, &["far"]);
     }
 
-    /// A digest of Bunbury with free `slots` for the route, which these boxes take relays for.
+    /// Delivers a digest of Bunbury with free `slots` for the route, whose relays these boxes
+    /// accept.
     pub fn doors(&mut self, slots: u32, names: &[&str]) {
-        self.digest_by(slots, 0, names);
+        self.digest_from(slots, 0, names);
     }
 
-    fn digest_by(&mut self, slots: u32, busy: u32, names: &[&str]) {
+    fn digest_from(&mut self, slots: u32, busy: u32, names: &[&str]) {
         self.digest_with(slots, busy, names, vec![], vec![]);
     }
 
-    /// A digest of Bunbury, which knows that the boxes of these regions stopped by plan.
+    /// Delivers a digest of Bunbury that reports a planned stop of all boxes of these regions.
     pub fn digest_without(&mut self, regions: &[&str], age: u64) {
         let absence = |region: &&str| Absence {
             region: region.parse().expect("a name"),
@@ -171,7 +172,8 @@
         self.digest_with(4, 0, &["far"], absences, vec![]);
     }
 
-    /// The same, where callers use these routes.
+    /// Delivers a digest of Bunbury that reports a planned stop of all boxes of these regions, and
+    /// the routes that callers use.
     pub fn digest_used(&mut self, regions: &[&str], routes: &[&str]) {
         let absence = |region: &&str| Absence {
             region: region.parse().expect("a name"),
@@ -186,7 +188,7 @@
         self.digest_with(4, 0, &["far"], absences, used);
     }
 
-    /// A digest of `region`, which knows that the boxes of `absent` stopped by plan.
+    /// Delivers a digest of `region` that reports a planned stop of all boxes of `absent`.
     pub fn absence_told(&mut self, region: &str, absent: &str, age: u64) {
         self.seq += 1;
         let absence = Absence {
@@ -197,19 +199,19 @@
             region: region.parse().expect("a name"),
             absences: vec![absence],
             stopping: false,
-            ..self.bunbury(4, 0, &[])
+            ..self.bunbury_digest(4, 0, &[])
         };
-        self.hear(Body::Digest(digest));
+        self.receive(Body::Digest(digest));
     }
 
-    /// A digest of Bunbury whose boxes start and take no work yet.
+    /// Delivers a digest of Bunbury whose boxes are starting and accept no work yet.
     pub fn digest_unready(&mut self) {
         self.seq += 1;
         let digest = Digest {
             stopping: false,
-            ..self.bunbury(4, 0, &[])
+            ..self.bunbury_digest(4, 0, &[])
         };
-        self.hear(Body::Digest(digest));
+        self.receive(Body::Digest(digest));
     }
 
     fn digest_with(
@@ -224,12 +226,12 @@
         let digest = Digest {
             absences,
             used,
-            ..self.bunbury(slots, busy, names)
+            ..self.bunbury_digest(slots, busy, names)
         };
-        self.hear(Body::Digest(digest));
+        self.receive(Body::Digest(digest));
     }
 
-    fn bunbury(&self, slots: u32, busy: u32, names: &[&str]) -> Digest {
+    fn bunbury_digest(&self, slots: u32, busy: u32, names: &[&str]) -> Digest {
         let door = |(index, name): (usize, &&str)| Door {
             contact: contact(name, "bunbury", 20 + 10 * index as u16),
             incarnation: Incarnation(1),
@@ -260,7 +262,7 @@
         }
     }
 
-    fn hear(&mut self, body: Body) {
+    fn receive(&mut self, body: Body) {
         let frame = Frame {
             from: "far".parse().expect("a name"),
             incarnation: Incarnation(1),
