--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -1,7 +1,9 @@
-//! A server's limit holds over all boxes of its region, whatever happens to them, and what it takes is used.
+//! A server's request limit holds over all boxes of its region through restarts, pauses and network
+//! partitions, and the capacity within the limit is used.
 //!
-//! Shared among three boxes by the way of cold servers, a limit far below one a second a box is over its bound
-//! by what each box may save up; told to the box alone that heard an answer, it is kept by that box alone.
+//! Two failures are guarded against. Shared among three boxes as the rate for cold servers is, a
+//! limit far below one request a second per box is exceeded by the permits that each box may save
+//! up. Sent only to the box that received the answer, the limit is obeyed by that box alone.
 
 mod harness;
 
@@ -9,7 +11,7 @@
 use petreldrum::unit::{Millis, Time};
 use rand::{Rng as _, SeedableRng as _, rngs::StdRng};
 
-/// The limits of the servers of one region; the last servers name none.
+/// Limits of the servers of one region; the last two servers name none.
 const LIMITS: [Option<f64>; 7] = [
     Some(0.0),
     Some(0.2),
@@ -19,11 +21,11 @@
     None,
     None,
 ];
-/// Requests a second of the whole region: far more than the limited servers take.
+/// Requests per second over the whole region, far above what the limited servers accept.
 const DEMAND: f64 = 300.0;
 
-/// What servers got from `since` on is within their limits.
-fn assert_holds(scene: &Scene, since: Time, what: &str) {
+/// Asserts that the requests each server received from `since` on are within its limit.
+fn assert_within_limits(scene: &Scene, since: Time, context: &str) {
     for (server, limit) in scene.limits.iter().enumerate() {
         let Some(limit) = limit else {
             continue;
@@ -31,7 +33,7 @@
         let worst = scene.worst(server, since);
         assert!(
             worst <= allowed(*limit),
-            "{what}: a server that takes {limit} a second got {worst} in 4 s"
+            "{context}: a server that takes {limit} a second got {worst} in 4 s"
         );
     }
 }
@@ -44,17 +46,20 @@
         scene.pass(FORCE.0);
         let since = scene.crowd.now;
         scene.pass(20_000);
-        assert_holds(&scene, since, &format!("{boxes} boxes"));
+        assert_within_limits(&scene, since, &format!("{boxes} boxes"));
         for (server, limit) in LIMITS.iter().enumerate().take(5) {
             let used = scene.arrivals(server, since).len() as f64 / 20.0;
-            // One request in ten seconds finds out whether the limit still stands.
+            // One request every ten seconds probes whether the limit is still in force.
             let least = limit.unwrap_or_default().max(0.1) * 0.5;
             assert!(
                 used >= least,
                 "{boxes} boxes use {used} a second of {limit:?}"
             );
         }
-        assert!(scene.refused.is_empty(), "the others take the rest");
+        assert!(
+            scene.refused.is_empty(),
+            "the other servers accept the rest"
+        );
     }
 }
 
@@ -66,7 +71,7 @@
     scene.pass(FORCE.0);
     let (since, served, refused) = (scene.crowd.now, scene.served, scene.refused.len());
     scene.pass(20_000);
-    assert_holds(&scene, since, "all are limited");
+    assert_within_limits(&scene, since, "all are limited");
     let used = (scene.served - served) as f64 / 20.0;
     assert!(used >= 0.7 * 4.0 * limit, "{used} a second are served");
     let refused = &scene.refused[refused..];
@@ -74,13 +79,14 @@
     for (_, reply) in refused {
         assert_eq!(reply.status, 503);
         assert!(reply.verdict.is_not_run() && reply.limited);
-        // Four servers of two a second let a refused caller in within seconds, not at once.
-        let wait = reply.retry_after.expect("a time to come back");
+        // Four servers at two requests a second can accept a refused caller within seconds, but not
+        // at once.
+        let wait = reply.retry_after.expect("a retry time");
         assert!((Millis(250)..Millis(15_000)).contains(&wait), "{wait}");
     }
 }
 
-/// Boxes start, stop, stand still and are cut off from each other while two servers are limited.
+/// Starts, stops, suspends and partitions boxes while two servers are limited.
 fn churn(boxes: usize, seed: u64) -> Scene {
     let mut random = StdRng::seed_from_u64(seed);
     let mut scene = Scene::new(boxes, 4, DEMAND / boxes as f64);
@@ -114,21 +120,21 @@
         for seed in 0..6 {
             let scene = churn(boxes, seed);
             let since = Time(20_000) + FORCE;
-            assert_holds(&scene, since, &format!("{boxes} boxes, seed {seed}"));
+            assert_within_limits(&scene, since, &format!("{boxes} boxes, seed {seed}"));
         }
     }
 }
 
 #[test]
 fn its_end_is_heard_soon_by_all() {
-    // A server that takes next to nothing is asked once in ten seconds.
-    for (limit, patience) in [(1.0, 4000), (5.5, 2000), (0.0, 21_000)] {
+    // A server with a limit near zero is probed once every ten seconds.
+    for (limit, recovery_ms) in [(1.0, 4000), (5.5, 2000), (0.0, 21_000)] {
         for boxes in [3, 26] {
             let mut scene = Scene::new(boxes, 3, DEMAND / boxes as f64);
             scene.limits[0] = Some(limit);
             scene.pass(FORCE.0);
             scene.limits[0] = None;
-            scene.pass(patience);
+            scene.pass(recovery_ms);
             let since = scene.crowd.now;
             scene.pass(2000);
             let used = scene.arrivals(0, since).len();
@@ -149,13 +155,14 @@
         let since = scene.crowd.now;
         scene.pass(WINDOW.0 + 2000);
         if limit.is_some() {
-            assert_holds(&scene, since, &format!("{limit:?}"));
+            assert_within_limits(&scene, since, &format!("{limit:?}"));
         }
     }
 }
 
-/// Each box saves up a permit while nobody asks. Were all boxes of a large region to share a limit, a server
-/// that takes one request a second would get a hundred at once when work begins.
+/// Each box saves up a permit while there are no requests. If all boxes of a large region shared a
+/// limit, a server that accepts one request a second would receive a hundred at once when load
+/// starts.
 #[test]
 fn work_that_begins_all_at_once_holds() {
     for boxes in [3, 26, 100] {
@@ -167,12 +174,12 @@
         let since = scene.crowd.now;
         scene.demand = demand;
         scene.pass(6000);
-        assert_holds(&scene, since, &format!("{boxes} boxes"));
+        assert_within_limits(&scene, since, &format!("{boxes} boxes"));
     }
 }
 
-/// One answer to one box is enough: the others are told within two ticks, and not with a heartbeat that comes
-/// to each of them every 15 s in a region of a hundred.
+/// One answer to one box is enough: the other boxes are notified within two ticks. They do not have
+/// to wait for a heartbeat, which reaches each box only every 15 s in a region of a hundred.
 #[test]
 fn one_answer_tells_all_boxes_at_once() {
     let mut scene = Scene::new(100, 1, 0.0);
@@ -183,7 +190,7 @@
     assert_eq!(boxes.filter(|state| state.limited() == 1).count(), 100);
 }
 
-/// A box that just started is told with the first heartbeat that it hears.
+/// A box that has just started learns the limit from the first heartbeat it receives.
 #[test]
 fn a_box_that_starts_knows_it_at_once() {
     let mut scene = Scene::new(26, 3, 1.0);
@@ -191,6 +198,6 @@
     scene.pass(20_000);
     scene.launch(4);
     scene.pass(400);
-    let state = scene.crowd.boxes[4].as_ref().expect("it runs");
+    let state = scene.crowd.boxes[4].as_ref().expect("the box runs");
     assert_eq!(state.limited(), 1);
 }
--- a/tests/limit_words.rs
+++ b/tests/limit_words.rs
@@ -1,4 +1,4 @@
-//! What a server's answer says of its limit, and which of several words is the newest.
+//! Parsing of the limit in a server's answer, and ordering of several reports of it by age.
 
 use petreldrum::{
     id::BoxName,
@@ -10,7 +10,7 @@
     Word::read(fields.iter().map(|field| field.as_bytes()))
 }
 
-fn teller() -> BoxName {
+fn sender() -> BoxName {
     "other".parse().expect("a name")
 }
 
@@ -29,7 +29,7 @@
     ] {
         assert_eq!(read(&[text]), Word::Most(Rate(rate)), "{text:?}");
     }
-    assert_eq!(read(&["5", "2"]), Word::Most(Rate(2.0)), "the least holds");
+    assert_eq!(read(&["5", "2"]), Word::Most(Rate(2.0)), "the lowest holds");
     for text in [
         "", "-1", "NaN", "inf", "1e309", "1 2", "a", "\u{661}", "1/s",
     ] {
@@ -52,7 +52,7 @@
         });
 }
 
-/// A server that names nonsense is used as if it named nothing, and the log hears of it once.
+/// A server that sends an unreadable limit is used as if it sent none, and this is logged once.
 #[test]
 fn nonsense_counts_as_nothing() {
     let mut limit = Limit::default();
@@ -62,7 +62,8 @@
     assert_eq!(limit.wait(0.0, Time(40)), Some(Millis(0)));
 }
 
-/// An answer that waited in a box that stood still says how things were when its request was sent.
+/// An answer that waited in a suspended box reports the state at the time its request was sent, so
+/// it must not raise or lift a limit that was read at that time or later.
 #[test]
 fn an_answer_from_before_ends_no_limit() {
     let mut limit = Limit::default();
@@ -88,50 +89,51 @@
     let mut limit = Limit::default();
     let rate = |rate| Some(Rate(rate));
     assert_eq!(
-        limit.learn(None, Time(5), &teller()),
+        limit.learn(None, Time(5), &sender()),
         Worth::Known,
-        "the end of a limit that was never heard of"
+        "the end of an unknown limit"
     );
-    assert_eq!(limit.learn(rate(1.0), Time(10), &teller()), Worth::News);
-    assert_eq!(limit.learn(rate(2.0), Time(9), &teller()), Worth::Old);
+    assert_eq!(limit.learn(rate(1.0), Time(10), &sender()), Worth::News);
+    assert_eq!(limit.learn(rate(2.0), Time(9), &sender()), Worth::Old);
     assert_eq!(
-        limit.learn(rate(2.0), Time(10), &teller()),
+        limit.learn(rate(2.0), Time(10), &sender()),
         Worth::Old,
-        "the lower of two of one moment holds"
+        "of two at the same time, the lower holds"
     );
-    assert_eq!(limit.learn(None, Time(11), &teller()), Worth::News);
-    assert_eq!(limit.learn(rate(1.0), Time(10), &teller()), Worth::Old);
+    assert_eq!(limit.learn(None, Time(11), &sender()), Worth::News);
+    assert_eq!(limit.learn(rate(1.0), Time(10), &sender()), Worth::Old);
     assert_eq!(limit.rate(), None);
     for odd in [f64::NAN, f64::INFINITY, -1.0] {
-        let worth = limit.learn(Some(Rate(odd)), Time(99), &teller());
+        let worth = limit.learn(Some(Rate(odd)), Time(99), &sender());
         assert_eq!(worth, Worth::Known, "{odd}");
     }
 }
 
-/// Words reach boxes in any order; all believe the same in the end.
+/// Reports reach boxes in any order; all boxes end with the same limit.
 #[test]
 fn order_of_arrival_does_not_matter() {
     bolero::check!()
         .with_type::<Vec<(Option<u8>, u8)>>()
         .for_each(|words| {
-            let believe = |words: &mut dyn Iterator<Item = &(Option<u8>, u8)>| {
+            let apply = |words: &mut dyn Iterator<Item = &(Option<u8>, u8)>| {
                 let mut limit = Limit::default();
-                // All know that it named a limit once.
-                limit.learn(Some(Rate(1.0)), Time(0), &teller());
+                // The server has named a limit before.
+                limit.learn(Some(Rate(1.0)), Time(0), &sender());
                 for (rate, at) in words {
                     let rate = rate.map(|rate| Rate(f64::from(rate)));
-                    limit.learn(rate, Time(u64::from(*at)), &teller());
+                    limit.learn(rate, Time(u64::from(*at)), &sender());
                 }
                 (limit.rate(), limit.at())
             };
-            let there = believe(&mut words.iter());
-            let back = believe(&mut words.iter().rev());
-            assert_eq!(there, back);
+            let in_order = apply(&mut words.iter());
+            let reversed = apply(&mut words.iter().rev());
+            assert_eq!(in_order, reversed);
         });
 }
 
-/// A box looks at its shares ten times a second. Between two looks it went on with the share of 20 a second
-/// of a server that had just named 2: `i-0-0 takes 2/s` with one request too many, in one of 921 random orders.
+/// A box recomputes its shares ten times a second. Between two such computations it kept using its
+/// share of 20 requests a second of a server that had just lowered its limit to 2. One request too
+/// many was sent (`i-0-0 takes 2/s`) in one of 921 random orders.
 #[test]
 fn a_lower_limit_lowers_the_share_at_once() {
     let mut limit = Limit::default();
--- a/tests/long_prompts.rs
+++ b/tests/long_prompts.rs
@@ -1,4 +1,4 @@
-//! A long prompt goes where reading it makes the least streams pause for too long.
+//! A long prompt is sent to the engine where prefilling it pauses the fewest streams for too long.
 
 mod harness;
 
@@ -12,7 +12,7 @@
     Part { id, tokens }
 }
 
-/// An engine with one long stream, and one with five short ones.
+/// Returns a box with two engines: one runs one long stream, the other five short ones.
 fn world() -> World {
     let mut world = World::new(vec![engine("long", "ready", 0)]);
     let sent = world.prompt(&[part(1, 20_000)]);
@@ -24,7 +24,7 @@
         let sent = world.prompt(&[part(id, 300)]);
         assert_eq!(target(&sent[0]), "short");
     }
-    // By now all prompts are read, and the streams go on.
+    // All prompts are prefilled by now, and the streams continue.
     world.pass(500);
     world.step(news(Change::Put(engine("long", "ready", 0))));
     world
@@ -39,7 +39,7 @@
 #[test]
 fn a_short_reading_holds_up_nobody() {
     let sent = world().prompt(&[part(2, 3000)]);
-    assert_eq!(sent[0].basis.burden.0, 0, "60 ms are no pause");
+    assert_eq!(sent[0].basis.burden.0, 0, "60 ms does not count as a pause");
 }
 
 #[test]
@@ -58,5 +58,5 @@
     let mut world = world();
     world.pass(20_000);
     let sent = world.prompt(&[part(2, 30_000)]);
-    assert_eq!(target(&sent[0]), "long", "the other one is still busy");
+    assert_eq!(target(&sent[0]), "long", "the other engine is still busy");
 }
--- a/tests/metric_text.rs
+++ b/tests/metric_text.rs
@@ -1,4 +1,4 @@
-//! What a box counts, as a collector reads it.
+//! Metrics of a box, as a collector scrapes them.
 
 mod harness;
 
@@ -6,11 +6,12 @@
 use hyper::Method;
 use petreldrum_standin::{http::call, registry::Fault};
 
-/// The value of a line of the metrics; none where there is no such line.
+/// Returns the value of the metric line that begins with `line`, or `None` if there is none.
 async fn value(cloud: &Cloud, line: &str) -> Option<f64> {
     let address = cloud.boxes[0].metrics;
     let answer = call(address, Method::GET, "/metrics", &[], "").await;
-    let text = String::from_utf8(answer.expect("it answers").body.to_vec()).expect("it is text");
+    let text = String::from_utf8(answer.expect("the box answers").body.to_vec())
+        .expect("the metrics are UTF-8");
     let mut lines = text.lines();
     lines.find_map(|l| l.strip_prefix(line)?.trim().parse().ok())
 }
@@ -50,7 +51,7 @@
     let refused = "petreldrum_store_calls_total{call=\"watch\",outcome=\"refused\"} ";
     assert!(value(&cloud, refused).await >= Some(2.0));
     cloud.registry.set_fault(Fault::None);
-    eventually("it is back", || async {
+    eventually("the store is available again", || async {
         value(&cloud, "petreldrum_store_failures ").await == Some(0.0)
     })
     .await;
--- a/tests/moved_fuzz.rs
+++ b/tests/moved_fuzz.rs
@@ -1,4 +1,6 @@
-//! Runs move while engines, callers and calls fail at any step: one live copy, none twice, no copy left behind.
+//! Fuzzes moves of runs between engines while engines, callers and calls fail at any step.
+//!
+//! At most one copy of a run is live, no copy is used twice, and no copy is left behind.
 
 mod harness;
 
@@ -41,37 +43,37 @@
         r#"{{"service":"s","address":"10.0.0.{index}:1","zone":"atl-a","slots":4,"born":{born},{state}}}"#
     );
     let name = ENGINES[index].parse().expect("a name");
-    Change::Put(record::server(&name, entry.as_bytes(), &places()).expect("it reads"))
+    Change::Put(record::server(&name, entry.as_bytes(), &places()).expect("the entry parses"))
 }
 
-/// One request as it truly stands.
+/// Actual state of one request, which the box only partly knows.
 #[derive(Debug)]
 struct Run {
     attempt: Attempt,
     /// Whether it may have run at any engine.
     ran: bool,
     begun: bool,
-    /// Whether an engine works on it.
+    /// Whether an engine is running it.
     live: bool,
-    /// The copy from which it may go on, once it is stopped.
+    /// Handle of the copy from which it can continue once it is stopped.
     stopped: Option<String>,
-    /// The name of its copies at the engine that runs it.
+    /// Handle of its copies at the engine that runs it.
     handle: Option<String>,
     /// Whether an engine was asked to stop it.
-    asked: bool,
-    /// Whether the box was told that its stream closed.
+    stop_requested: bool,
+    /// Whether the box was notified that its stream closed.
     closed: bool,
 }
 
-/// A copy of which the box was told.
+/// A copy that was reported to the box.
 #[derive(Debug)]
 struct Copy {
     run: Request,
-    ends: BTreeSet<String>,
-    over: bool,
+    engines: BTreeSet<String>,
+    released: bool,
 }
 
-struct Truth {
+struct Model {
     world: World,
     resumable: bool,
     runs: BTreeMap<Request, Run>,
@@ -80,7 +82,7 @@
     handles: u32,
 }
 
-impl Truth {
+impl Model {
     fn new(resumable: bool) -> Self {
         let ready = |index| match change(index, r#""state":"ready""#, 1) {
             Change::Put(backend) => backend,
@@ -101,22 +103,22 @@
 
     fn step(&mut self, event: Event) {
         for effect in self.world.step(event) {
-            self.see(effect);
+            self.apply(effect);
         }
     }
 
-    fn see(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Send(send) => self.sent(send),
             Effect::Move(call) => {
                 if let Some(run) = self.runs.get_mut(&call.request) {
-                    run.asked |= call.last;
+                    run.stop_requested |= call.last;
                 }
                 self.calls.push(call);
             }
             Effect::Free(origin) => {
                 if let Some(copy) = self.copies.get_mut(&origin.handle.0) {
-                    copy.over = true;
+                    copy.released = true;
                 }
             }
             Effect::Abort { request, .. } | Effect::Leave { request, .. } => {
@@ -144,16 +146,19 @@
                 assert_eq!(
                     run.stopped.as_ref(),
                     Some(&origin.handle.0),
-                    "it was not stopped"
+                    "the run was not stopped"
                 );
                 assert!(
-                    !copy.over && copy.run == send.request,
-                    "another's copy, or none: {copy:?}"
+                    !copy.released && copy.run == send.request,
+                    "a released copy, or one of another run: {copy:?}"
+                );
+                assert!(
+                    copy.engines.contains(target(&send)),
+                    "the target holds no copy"
                 );
-                assert!(copy.ends.contains(target(&send)), "it has no copy");
             }
-            (Some(_), None) => panic!("it goes on with a run that was never begun"),
-            (None, Some(run)) => assert!(self.resumable || !run.ran, "it ran before"),
+            (Some(_), None) => panic!("continues a run that was never started"),
+            (None, Some(run)) => assert!(self.resumable || !run.ran, "it may have run before"),
             (None, None) => {}
         }
         let stopped = send
@@ -166,7 +171,7 @@
             live: false,
             stopped,
             handle: None,
-            asked: false,
+            stop_requested: false,
             closed: false,
             ran: before.is_some_and(|run| run.ran),
         };
@@ -183,7 +188,7 @@
         fit.get(usize::from(choice) % fit.len().max(1)).copied()
     }
 
-    /// What an engine that is asked for `call` does, and answers.
+    /// Carries out one pending call at its engine and reports the result to the box.
     fn answer(&mut self, choice: u8) {
         if self.calls.is_empty() {
             return;
@@ -199,14 +204,14 @@
         let known = run.filter(|run| run.begun && (run.live || run.stopped.is_some()));
         let result = match (known, choice % 8) {
             (_, 0) => Moved::Lost,
-            // The copy was made before its caller left.
+            // The copy was made before the caller left.
             (None, 4 | 5) if gone => {
                 self.handles += 1;
                 let name = format!("h{}", self.handles);
                 let copy = Copy {
                     run: call.request,
-                    ends: BTreeSet::new(),
-                    over: false,
+                    engines: BTreeSet::new(),
+                    released: false,
                 };
                 self.copies.insert(name.clone(), copy);
                 let handle = Handle(name);
@@ -234,14 +239,14 @@
                         run.live = false;
                         run.stopped = Some(handle.clone());
                     }
-                    let ends = [call.from.name.to_string(), call.to.name.to_string()];
+                    let engines = [call.from.name.to_string(), call.to.name.to_string()];
                     let copy = Copy {
                         run: call.request,
-                        ends: ends.into(),
-                        over: false,
+                        engines: engines.into(),
+                        released: false,
                     };
                     let name = Handle(handle.clone());
-                    // It stopped, and nobody is told.
+                    // The run stopped, but the answer is lost.
                     if kind == 3 {
                         Moved::Lost
                     } else {
@@ -272,7 +277,7 @@
         (run.live, run.closed) = (false, true);
         let attempt = run.attempt;
         let timing = Default::default();
-        if !whole && (self.resumable || run.asked) {
+        if !whole && (self.resumable || run.stop_requested) {
             return self.step(Event::Broke { request, attempt });
         }
         self.runs.remove(&request);
@@ -316,11 +321,14 @@
             }
             5 | 6 => {
                 if let Some(request) = self.pick(choice, waiting) {
-                    let run = self.runs.get_mut(&request).expect("it was picked");
+                    let run = self
+                        .runs
+                        .get_mut(&request)
+                        .expect("a picked request is tracked");
                     (run.begun, run.live, run.ran) = (true, true, true);
                     let used = run.stopped.take();
                     if let Some(copy) = used.and_then(|handle| self.copies.get_mut(&handle)) {
-                        copy.over = true;
+                        copy.released = true;
                     }
                     let attempt = run.attempt;
                     self.step(Event::Begun { request, attempt });
@@ -328,7 +336,7 @@
             }
             7 | 8 => self.answer(choice),
             9 => {
-                // A stopped stream closes; a live one ends, or breaks.
+                // A stopped stream closes; a live one ends or breaks.
                 let open =
                     |run: &Run| run.begun && !run.closed && (run.live || run.stopped.is_some());
                 if let Some(request) = self.pick(choice, open) {
@@ -342,14 +350,18 @@
             }
             10 => {
                 if let Some(request) = self.pick(choice, waiting) {
-                    let run = self.runs.get_mut(&request).expect("it was picked");
+                    let run = self
+                        .runs
+                        .get_mut(&request)
+                        .expect("a picked request is tracked");
                     let broke = !choice.is_multiple_of(2);
                     run.ran |= broke;
                     run.closed = true;
-                    // Whoever broke off may have begun with the copy, which serves once.
+                    // An engine whose connection broke may have started from the copy, which can be
+                    // used once.
                     let used = run.stopped.clone().filter(|_| broke);
                     if let Some(copy) = used.and_then(|handle| self.copies.get_mut(&handle)) {
-                        copy.over = true;
+                        copy.released = true;
                     }
                     let attempt = run.attempt;
                     let (verdict, cause) = match broke {
@@ -373,9 +385,9 @@
         }
     }
 
-    /// All callers leave, and all engines answer: nothing may be left.
+    /// Disconnects all callers, answers all calls and asserts that no request or copy is left.
     fn finish(mut self) {
-        // Those that wait in line are sent, or their time is over.
+        // Queued requests are sent or reach their deadline.
         for _ in 0..90 {
             while let Some((request, _)) = self.runs.pop_first() {
                 self.step(Event::Gone(request));
@@ -386,9 +398,13 @@
             self.world.now = self.world.now + Millis(100);
             self.step(Event::Tick);
         }
-        let left: Vec<_> = self.copies.iter().filter(|(_, copy)| !copy.over).collect();
-        assert!(left.is_empty(), "copies that serve nobody: {left:?}");
-        assert_eq!(self.world.state.busy(), 0, "requests that nobody ends");
+        let left: Vec<_> = self
+            .copies
+            .iter()
+            .filter(|(_, copy)| !copy.released)
+            .collect();
+        assert!(left.is_empty(), "copies left behind: {left:?}");
+        assert_eq!(self.world.state.busy(), 0, "requests left open");
     }
 }
 
@@ -397,10 +413,10 @@
     bolero::check!()
         .with_type::<(bool, Vec<(u8, u8)>)>()
         .for_each(|(resumable, steps)| {
-            let mut truth = Truth::new(*resumable);
+            let mut model = Model::new(*resumable);
             for (kind, choice) in steps {
-                truth.act(*kind, *choice);
+                model.act(*kind, *choice);
             }
-            truth.finish();
+            model.finish();
         });
 }
--- a/tests/moved_runs.rs
+++ b/tests/moved_runs.rs
@@ -1,4 +1,5 @@
-//! A run goes on at another engine, with its memory, when its engine leaves; one live copy at any moment.
+//! A run continues at another engine with its KV cache when its engine leaves, and at most one copy
+//! is live at any moment.
 
 mod harness;
 
@@ -24,7 +25,7 @@
     verdict::Verdict,
 };
 
-/// A route of streams: of those that may be resumed, and run twice, or of those that may not.
+/// Returns the configuration of a streaming route; `resumable` streams may also run twice.
 fn config(resumable: bool, moves: bool) -> String {
     let attempts = if resumable { 2 } else { 1 };
     format!(
@@ -41,7 +42,7 @@
         r#"{{"service":"s","address":"10.0.0.1:{port}","zone":"atl-a","slots":64,"born":1{more}}}"#
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::server(&name, entry.as_bytes(), &places()).expect("the entry parses")
 }
 
 fn ready(name: &str) -> Backend {
@@ -52,7 +53,8 @@
     entry(name, &format!(r#","state":"draining","timeLeftMs":{left}"#))
 }
 
-/// A box before engine `a`, where `streams` run, one for each length of a prompt; then `others` come.
+/// A box and engine `a`, which runs one stream for each prompt length; the other engines register
+/// afterwards.
 struct Scene {
     world: World,
     streams: Vec<Send>,
@@ -85,8 +87,8 @@
         Self { world, streams }
     }
 
-    /// One stream, which is not resumable, and engine `b`.
-    fn one() -> Self {
+    /// Starts one stream, which is not resumable, and registers engine `b`.
+    fn with_one_stream() -> Self {
         Self::new(&config(false, true), &[4000], &[ready("b")])
     }
 
@@ -94,7 +96,7 @@
         self.world.step(news(Change::Put(leaving("a", left))))
     }
 
-    /// The engine answers the call.
+    /// Delivers the engine's answer to the call.
     fn answer(&mut self, call: &Move, result: Moved) -> Vec<Effect> {
         self.world.step(Event::Moved {
             request: call.request,
@@ -104,14 +106,14 @@
         })
     }
 
-    /// The first copy stands, and the call is out that stops the run.
+    /// Completes the first copy and returns the call that stops the run.
     fn stopping(&mut self) -> Move {
         let first = calls(&self.leave(3000)).remove(0);
         calls(&self.answer(&first, copied("h1"))).remove(0)
     }
 
-    /// The run is stopped, and the request goes on at `b`.
-    fn sent_on(&mut self) -> Send {
+    /// Stops the run and returns the request that continues it at `b`.
+    fn continued_at_target(&mut self) -> Send {
         let last = self.stopping();
         sends(&self.answer(&last, copied("h2"))).remove(0)
     }
@@ -163,31 +165,37 @@
     effects.iter().filter_map(end).collect()
 }
 
-/// A stream on an engine that was withdrawn was lost where its route may not be resumed.
+/// A stream on a withdrawn engine was lost if its route was not resumable.
 #[test]
 fn a_run_goes_on_with_its_memory() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let effects = scene.leave(3000);
     let first = calls(&effects).remove(0);
     assert_eq!(
         (first.last, first.from.name.as_str(), first.to.name.as_str()),
         (false, "a", "b")
     );
-    assert!(sends(&effects).is_empty(), "it runs at one engine");
+    assert!(
+        sends(&effects).is_empty(),
+        "the run is live at one engine only"
+    );
     let effects = scene.answer(&first, copied("h1"));
     let last = calls(&effects).remove(0);
     assert!(last.last && sends(&effects).is_empty());
-    let on = sends(&scene.answer(&last, copied("h2"))).remove(0);
-    assert_eq!(target(&on), "b");
-    let origin = on.continues.clone().expect("it is the same run");
+    let continued = sends(&scene.answer(&last, copied("h2"))).remove(0);
+    assert_eq!(target(&continued), "b");
+    let origin = continued.continues.clone().expect("it continues the run");
     assert_eq!(
         (origin.address, origin.handle.0.as_str()),
         (first.from.address, "h2")
     );
-    assert_eq!(on.basis.number, 1, "it is no repeat");
+    assert_eq!(
+        continued.basis.number, 1,
+        "it does not count as a further attempt"
+    );
     let Send {
         request, attempt, ..
-    } = on;
+    } = continued;
     let effects = scene.world.step(Event::Begun { request, attempt });
     assert_eq!(
         (ends(&effects), freed(&effects).len()),
@@ -207,7 +215,7 @@
 
 #[test]
 fn nothing_moves_where_nothing_says_that_it_may() {
-    let still = |config: &str, left: Option<u64>| {
+    let stays = |config: &str, left: Option<u64>| {
         let mut scene = Scene::new(config, &[4000], &[ready("b")]);
         let change = left.map_or(engine("a", "draining", 0), |left| leaving("a", left));
         let mut effects = scene.world.step(news(Change::Put(change)));
@@ -215,12 +223,12 @@
         calls(&effects).is_empty()
     };
     assert!(
-        still(&config(false, false), Some(3000)),
+        stays(&config(false, false), Some(3000)),
         "the service moves no runs"
     );
-    assert!(still(&config(false, true), None), "it has time to end");
-    assert!(still(&config(false, true), Some(50)), "too late");
-    assert!(!still(&config(false, true), Some(1000)));
+    assert!(stays(&config(false, true), None), "no end time is known");
+    assert!(stays(&config(false, true), Some(50)), "too late");
+    assert!(!stays(&config(false, true), Some(1000)));
 }
 
 #[test]
@@ -246,7 +254,7 @@
     moved.sort_unstable();
     assert_eq!(moved, [800, 7000, 8000, 9000]);
     let effects = scene.world.step(Event::Tick);
-    assert!(calls(&effects).is_empty(), "four are under way");
+    assert!(calls(&effects).is_empty(), "four moves are in progress");
     let effects = scene.answer(&first[0], Moved::Absent);
     assert_eq!(
         calls(&effects).len(),
@@ -255,7 +263,7 @@
     );
 }
 
-/// A target without room ended no run, and the next engine was asked.
+/// A target without room must not end the run; the next engine is asked, at most three in all.
 #[test]
 fn a_refused_copy_leaves_the_run_alone() {
     let others = ["b", "c", "d", "e"].map(ready);
@@ -269,15 +277,19 @@
         call = next;
     }
     let effects = scene.answer(&call, Moved::Lost);
-    assert!(calls(&effects).is_empty(), "it is not asked for ever");
+    assert!(
+        calls(&effects).is_empty(),
+        "the move is not retried without end"
+    );
     assert!(calls(&scene.world.step(Event::Tick)).is_empty());
     assert_eq!(scene.world.state.busy(), 1, "the run goes on");
 }
 
-/// The last part of a copy had no room: the stopped run would have been lost.
+/// The last part of a copy found no room: without a return to the source, the stopped run would be
+/// lost.
 #[test]
 fn a_stopped_run_goes_back_to_its_memory() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     let back = scene.answer(&last, Moved::Kept(Handle("h3".to_owned())));
     let back = sends(&back).remove(0);
@@ -290,20 +302,20 @@
     assert_eq!(ends(&effects), [End::Back]);
 }
 
-/// A leaving server takes no request later than a short while after it said so.
+/// A leaving server accepts no new requests from a short time after its announcement.
 #[test]
 fn nothing_goes_back_late() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     scene.world.pass(2000);
-    let on = sends(&scene.answer(&last, Moved::Kept(Handle("h3".to_owned()))));
-    assert_eq!(target(&on[0]), "b", "the first copy is there");
+    let continued = sends(&scene.answer(&last, Moved::Kept(Handle("h3".to_owned()))));
+    assert_eq!(target(&continued[0]), "b", "the first copy is there");
 }
 
-/// The answer to the call that stops the run was lost: nobody knows whether it still runs.
+/// The answer to the call that stops the run was lost, so the run may still be live.
 #[test]
 fn a_lost_answer_sends_the_run_nowhere() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     let mut effects = scene.answer(&last, Moved::Lost);
     effects.extend(scene.broke());
@@ -319,7 +331,7 @@
 
 #[test]
 fn the_second_answer_is_as_good_as_the_first() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     scene.answer(&last, Moved::Lost);
     let again = calls(&scene.world.step(Event::Tick)).remove(0);
@@ -327,30 +339,30 @@
         scene.broke().is_empty(),
         "the call that stops it is under way"
     );
-    let on = sends(&scene.answer(&again, copied("h2"))).remove(0);
-    assert_eq!(target(&on), "b");
+    let continued = sends(&scene.answer(&again, copied("h2"))).remove(0);
+    assert_eq!(target(&continued), "b");
 }
 
-/// The target refused the request that brought the handle.
+/// The target refused the request that carried the handle.
 #[test]
 fn a_target_that_refuses_costs_nothing_but_the_way_back() {
-    let mut scene = Scene::one();
-    let on = scene.sent_on();
-    let effects = scene.failed(&on, Verdict::NotRun, Cause::Full);
+    let mut scene = Scene::with_one_stream();
+    let continued = scene.continued_at_target();
+    let effects = scene.failed(&continued, Verdict::NotRun, Cause::Full);
     let back = sends(&effects).remove(0);
     assert_eq!((target(&back), back.basis.number), ("a", 1));
     assert!(back.continues.is_some());
     let effects = scene.failed(&back, Verdict::NotRun, Cause::Full);
-    assert!(sends(&effects).is_empty(), "nobody reads it anew");
+    assert!(sends(&effects).is_empty(), "no engine prefills it again");
     assert_eq!((freed(&effects), replies(&effects).len()), (vec!["h2"], 1));
 }
 
-/// The target died with the run: it may be at work, so nobody else may be.
+/// The target failed with the run, which may still be live there, so no other engine may run it.
 #[test]
 fn a_target_that_dies_ends_what_may_not_run_twice() {
-    let mut scene = Scene::one();
-    let on = scene.sent_on();
-    let effects = scene.failed(&on, Verdict::MayHaveRun, Cause::Broken);
+    let mut scene = Scene::with_one_stream();
+    let continued = scene.continued_at_target();
+    let effects = scene.failed(&continued, Verdict::MayHaveRun, Cause::Broken);
     assert!(sends(&effects).is_empty());
     assert_eq!(
         (ends(&effects), replies(&effects).len()),
@@ -360,7 +372,7 @@
 
 #[test]
 fn a_source_that_dies_midway_ends_the_move() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let first = calls(&scene.leave(3000)).remove(0);
     let effects = scene.broke();
     assert_eq!(
@@ -370,7 +382,7 @@
     assert_eq!(
         freed(&scene.answer(&first, copied("h1"))),
         ["h1"],
-        "nobody else owns it"
+        "no other request uses the copy"
     );
 }
 
@@ -380,33 +392,33 @@
         let request = scene.streams[0].request;
         scene.world.step(Event::Gone(request))
     };
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let first = calls(&scene.leave(3000)).remove(0);
     assert!(freed(&gone(&mut scene)).is_empty());
     assert_eq!(freed(&scene.answer(&first, copied("h1"))), ["h1"]);
 
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     let effects = gone(&mut scene);
     assert_eq!(freed(&effects), ["h1"]);
     assert!(effects.iter().any(|e| matches!(e, Effect::Abort { .. })));
     assert_eq!(freed(&scene.answer(&last, copied("h2"))), ["h2"]);
 
-    let mut scene = Scene::one();
-    let on = scene.sent_on();
+    let mut scene = Scene::with_one_stream();
+    let continued = scene.continued_at_target();
     let effects = gone(&mut scene);
     let stop = Effect::Abort {
-        request: on.request,
-        attempt: on.attempt,
+        request: continued.request,
+        attempt: continued.attempt,
     };
     assert!(effects.contains(&stop));
     assert_eq!(freed(&effects), ["h2"]);
 }
 
-/// A stream that came to its end while its run was to be stopped was taken for one that was cut.
+/// A stream that ended while its run was being stopped was treated as cut off.
 #[test]
 fn a_stream_that_ends_by_itself_is_whole() {
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     let Send {
         request, attempt, ..
@@ -417,24 +429,26 @@
     assert!(effects.contains(&Effect::Close { request, attempt }));
     assert_eq!(ends(&effects), [End::Ended]);
 
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     assert!(
         scene.answer(&last, Moved::Absent).is_empty(),
-        "its end is on the way"
+        "its end is still to arrive"
     );
     let effects = scene.world.step(closed.clone());
     assert!(effects.contains(&Effect::Close { request, attempt }));
 
-    let mut scene = Scene::one();
+    let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     scene.world.step(closed);
-    let on = sends(&scene.answer(&last, copied("h2")));
-    assert_eq!(on.len(), 1, "it was stopped");
+    let continued = sends(&scene.answer(&last, copied("h2")));
+    assert_eq!(continued.len(), 1, "it was stopped");
 }
 
-/// Streams of one engine, as many as `prompts`, of which the first moves are at their last call; then all are
-/// silent for a while.
+/// Runs one stream on one engine for each of `prompts`, answers the first copy of the moves under
+/// way, and then lets all streams stay silent for 1.5 s.
+///
+/// Returns the requests being moved and the effects during the silence.
 fn silence(prompts: &[u32]) -> (Vec<id::Request>, Vec<Effect>) {
     let both = [ready("b"), ready("c")];
     let mut scene = Scene::new(&config(true, true), prompts, &both);
@@ -450,7 +464,7 @@
     (first.iter().map(|call| call.request).collect(), effects)
 }
 
-/// Streams that are being stopped are silent together, as those of a server that failed.
+/// Streams that are being stopped fall silent together, just as those of a failed server do.
 #[test]
 fn a_stopped_stream_is_no_sign_of_a_failure() {
     let (_, effects) = silence(&[4000, 4000, 4000]);
@@ -458,7 +472,8 @@
     assert!(!effects.iter().any(failed));
 }
 
-/// A server that did fail was left by runs that it may have stopped: two copies were live.
+/// When a server did fail, runs that it might already have been stopping were restarted elsewhere,
+/// so two copies were live.
 #[test]
 fn a_run_that_is_being_stopped_is_read_anew_nowhere() {
     let (stopping, effects) = silence(&[9000, 9000, 9000, 9000, 300, 300, 300]);
@@ -495,11 +510,11 @@
         (409, "{}", Moved::Busy),
         (500, r#"{"handle":"17"}"#, Moved::Lost),
     ];
-    for (status, content, meant) in cases {
+    for (status, content, expected) in cases {
         let status = StatusCode::from_u16(status).expect("a status");
         assert_eq!(
             moved(status, content.as_bytes()),
-            meant,
+            expected,
             "{status} {content}"
         );
     }
--- a/tests/moved_streams.rs
+++ b/tests/moved_streams.rs
@@ -1,4 +1,5 @@
-//! A stream whose engine leaves goes on at another engine: its caller sees one whole answer.
+//! A stream whose engine leaves continues at another engine, and its caller receives one whole
+//! answer.
 
 mod harness;
 
@@ -17,10 +18,10 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-/// Time for a stream to begin and to bring some events.
+/// Time for a stream to start and send some events.
 const SOME_EVENTS: Duration = Duration::from_millis(250);
 
-/// A box before engine `i-1`, and a route whose streams may neither be repeated nor resumed.
+/// Starts a box and engine `i-1`, with a route whose streams may be neither repeated nor resumed.
 async fn one_engine() -> Cloud {
     let cloud = Cloud::serving(&["i-1"]).await;
     let content = json!({
@@ -48,7 +49,7 @@
     cloud
 }
 
-/// Engine `i-1` says that it ends soon.
+/// Registers engine `i-1` as about to end.
 fn withdraw(cloud: &Cloud) {
     let content = json!({
         "service": "app", "address": cloud.workers["i-1"].address, "zone": "atl-a", "version": "v1",
@@ -57,7 +58,8 @@
     cloud.registry.put("servers/i-1", &content);
 }
 
-/// A stream that begins at `i-1`, which is withdrawn before `i-2`, and takes calls in this way.
+/// Starts a stream at `i-1`, adds `i-2` and withdraws `i-1`, which handles the calls of the move in
+/// the given `way`.
 async fn moved(way: Way) -> (Cloud, Answer) {
     let mut cloud = one_engine().await;
     let begun = cloud.boxes[0].begin("/flow/x", "one", "stream").await;
@@ -70,7 +72,7 @@
     (cloud, answer)
 }
 
-/// Each event came once and in order, with the engine that brought it.
+/// Returns the id of each event, in order, with the engine that sent it.
 fn events(answer: &Answer) -> Vec<(u32, String)> {
     let text = String::from_utf8_lossy(&answer.body);
     let event = |event: &str| {
@@ -91,7 +93,7 @@
 
 async fn metric(cloud: &Cloud, line: &str) -> bool {
     let answer = call(cloud.boxes[0].metrics, Method::GET, "/metrics", &[], "").await;
-    let text = answer.expect("it tells").body;
+    let text = answer.expect("the metrics endpoint answers").body;
     String::from_utf8_lossy(&text).contains(line)
 }
 
@@ -102,7 +104,10 @@
     assert_eq!((engines[0].as_str(), engines[19].as_str()), ("i-1", "i-2"));
     let seen = cloud.workers["i-2"].seen("one");
     assert_eq!(seen.len(), 1, "it goes on once");
-    assert!(cloud.workers["i-1"].runs.freed().is_empty(), "it was used");
+    assert!(
+        cloud.workers["i-1"].runs.freed().is_empty(),
+        "the copy was used"
+    );
     assert!(metric(&cloud, r#"moves_total{end="there"} 1"#).await);
 }
 
@@ -115,7 +120,8 @@
     assert!(cloud.workers["i-2"].seen("one").is_empty());
 }
 
-/// The answer to the call that stops the run was lost: the stream had ended by then without its end.
+/// The answer to the call that stops the run was lost, and by then the stream had closed without
+/// its final event.
 #[tokio::test]
 async fn a_lost_answer_is_asked_for_again() {
     let (cloud, answer) = moved(Way::LastLost).await;
@@ -135,7 +141,7 @@
     .await;
 }
 
-/// A caller that left during a move left a copy behind that served nobody.
+/// A caller that disconnected during a move left an unused copy behind.
 #[tokio::test]
 async fn a_caller_that_leaves_frees_the_copy() {
     let mut cloud = one_engine().await;
--- a/tests/on_call.rs
+++ b/tests/on_call.rs
@@ -1,4 +1,5 @@
-//! From the id of a failed request to its cause, by the steps of docs/OPERATIONS.md and logs alone.
+//! The cause of a failed request is found from its id by the steps of docs/OPERATIONS.md, with logs
+//! alone.
 
 mod harness;
 
@@ -9,7 +10,7 @@
 use petreldrum::story::Story;
 use tokio::time::sleep;
 
-/// What `petreldrum trace` prints of a request.
+/// Returns the lines that `petreldrum trace` prints for a request.
 fn trace(boxes: &[CloudBox], id: &str) -> Vec<String> {
     let mut story = Story::default();
     for (number, process) in boxes.iter().enumerate() {
@@ -17,27 +18,27 @@
         let name = format!("box-{number}");
         story
             .read(&name, &mut log.as_bytes(), id)
-            .expect("the log reads");
+            .expect("the log is readable");
     }
     assert_eq!(story.bad(), 0);
     story.into_lines().into_iter().map(|l| l.text).collect()
 }
 
-/// Waits for a line of the request that holds all of `words`, and returns it.
-async fn line(boxes: &[CloudBox], id: &str, words: &[&str]) -> String {
+/// Waits for a log line of the request that contains all `fragments`, and returns it.
+async fn line(boxes: &[CloudBox], id: &str, fragments: &[&str]) -> String {
     let find = || {
         let lines = trace(boxes, id);
-        let whole = |l: &String| words.iter().all(|word| l.contains(word));
+        let whole = |l: &String| fragments.iter().all(|fragment| l.contains(fragment));
         lines.into_iter().find(whole)
     };
     eventually("the line is written", || async { find().is_some() }).await;
-    find().expect("it was there")
+    find().expect("the line was found")
 }
 
-/// The value behind `key=` in a line, in milliseconds.
+/// Returns the value of `key=` in a line, in milliseconds.
 fn millis(line: &str, key: &str) -> u64 {
-    let mut words = line.split(' ');
-    let value = words.find_map(|word| word.strip_prefix(key)?.strip_prefix('='));
+    let mut fields = line.split(' ');
+    let value = fields.find_map(|field| field.strip_prefix(key)?.strip_prefix('='));
     let value = value.and_then(|v| v.strip_suffix("ms")?.parse().ok());
     value.unwrap_or_else(|| panic!("no {key} in {line}"))
 }
@@ -50,8 +51,8 @@
     sleep(NEWS).await;
     let answer = cloud.boxes[0].send("/safe/x", "refused-1", "").await;
     assert_eq!(answer.status.as_u16(), 503);
-    let words = ["answered status=503", "verdict=not-run", "no allowed place"];
-    line(&cloud.boxes, "refused-1", &words).await;
+    let fragments = ["answered status=503", "verdict=not-run", "no allowed place"];
+    line(&cloud.boxes, "refused-1", &fragments).await;
     let log = cloud.boxes[0].log.text();
     assert!(log.contains("store: failure domain atl-a is evacuated: true"));
 }
@@ -63,8 +64,8 @@
     assert_eq!(answer.status.as_u16(), 502);
     line(&cloud.boxes, "cut-1", &["sent ", "to=i-1@", "places=1"]).await;
     line(&cloud.boxes, "cut-1", &["failed ", "cause=Broken"]).await;
-    let words = ["answered status=502", "verdict=may-have-run"];
-    line(&cloud.boxes, "cut-1", &words).await;
+    let fragments = ["answered status=502", "verdict=may-have-run"];
+    line(&cloud.boxes, "cut-1", &fragments).await;
 }
 
 #[tokio::test]
@@ -88,10 +89,13 @@
     let ended = line(&cloud.boxes, "late-1", &["ended ", "whole=true"]).await;
     assert!(millis(&ended, "first") > millis(&sent, "target"), "{ended}");
     assert!(millis(&sent, "waited") < 100, "not spent in line: {sent}");
-    assert!(millis(&sent, "first") < 500, "nobody expected it: {sent}");
+    assert!(
+        millis(&sent, "first") < 500,
+        "the delay was not predicted: {sent}"
+    );
     let relays = trace(&cloud.boxes, "late-1");
     assert!(
         relays.iter().any(|l| l.contains("to=mcn@")),
-        "the way is told"
+        "the relay is logged"
     );
 }
--- a/tests/peer_notes.rs
+++ b/tests/peer_notes.rs
@@ -1,4 +1,4 @@
-//! The log tells when a region comes and goes, once each.
+//! The log reports each change of a region between reachable and unreachable exactly once.
 
 mod harness;
 
--- a/tests/pinned_keys.rs
+++ b/tests/pinned_keys.rs
@@ -1,4 +1,4 @@
-//! A key runs only at the box, in the life and in the time that it names.
+//! An idempotency key is valid only at the box and incarnation that it names, until it expires.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -18,7 +18,7 @@
     wire::Contact,
 };
 
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 const NOW: Time = Time(100_000);
 
 fn address(port: u16) -> SocketAddr {
@@ -41,7 +41,7 @@
     };
     let identity = Identity {
         contact,
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         seeds: vec![],
         retry: Default::default(),
         registry: false,
@@ -63,9 +63,9 @@
         author: String::new(),
         text,
     };
-    let config = Arc::new(Config::parse("test", &envelope).expect("checks"));
+    let config = Arc::new(Config::parse("test", &envelope).expect("the configuration is valid"));
     let source = Source::Store;
-    // Ticks up to the moment, so that the box did not stand still.
+    // Ticks up to `NOW`, so that the box does not detect a suspension.
     for time in (0..=NOW.0).step_by(1000) {
         state.step(Time(time), Event::Tick);
     }
@@ -107,20 +107,20 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum Outcome {
     Runs,
     Passed,
     Refused(u16, Verdict),
 }
 
-fn seen(effects: &[Effect]) -> Seen {
+fn outcome(effects: &[Effect]) -> Outcome {
     match effects {
         [Effect::Send(send)] => match send.target {
-            Target::Backend { .. } => Seen::Runs,
-            Target::Pass { .. } => Seen::Passed,
+            Target::Backend { .. } => Outcome::Runs,
+            Target::Pass { .. } => Outcome::Passed,
             Target::Relay { .. } => panic!("there is no other region"),
         },
-        [Effect::Reply { reply, .. }] => Seen::Refused(reply.status, reply.verdict),
+        [Effect::Reply { reply, .. }] => Outcome::Refused(reply.status, reply.verdict),
         other => panic!("{other:?}"),
     }
 }
@@ -128,78 +128,78 @@
 #[test]
 fn named_box_only() {
     let soon = NOW + Millis(1000);
-    let may = Verdict::MayHaveRun;
+    let may_have_run = Verdict::MayHaveRun;
     let cases = [
         (
             "this box",
-            key(address(2), LIFE, soon),
+            key(address(2), INCARNATION, soon),
             Hop::Direct,
-            Seen::Runs,
+            Outcome::Runs,
         ),
         (
             "passed here",
-            key(address(2), LIFE, soon),
+            key(address(2), INCARNATION, soon),
             Hop::Pass,
-            Seen::Runs,
+            Outcome::Runs,
         ),
         (
             "another box",
-            key(address(9), LIFE, soon),
+            key(address(9), INCARNATION, soon),
             Hop::Direct,
-            Seen::Passed,
+            Outcome::Passed,
         ),
         (
             "passed wrongly",
-            key(address(9), LIFE, soon),
+            key(address(9), INCARNATION, soon),
             Hop::Pass,
-            Seen::Refused(409, may),
+            Outcome::Refused(409, may_have_run),
         ),
         (
-            "an older life",
+            "an earlier incarnation",
             key(address(2), Incarnation(6), soon),
             Hop::Direct,
-            Seen::Refused(409, may),
+            Outcome::Refused(409, may_have_run),
         ),
         (
-            "a later life",
+            "a later incarnation",
             key(address(2), Incarnation(8), soon),
             Hop::Direct,
-            Seen::Refused(409, may),
+            Outcome::Refused(409, may_have_run),
         ),
         (
             "the past",
-            key(address(2), LIFE, NOW),
+            key(address(2), INCARNATION, NOW),
             Hop::Direct,
-            Seen::Refused(409, may),
+            Outcome::Refused(409, may_have_run),
         ),
         (
             "too far ahead",
-            key(address(2), LIFE, NOW + pin::LIFE + Millis(1)),
+            key(address(2), INCARNATION, NOW + pin::LIFE + Millis(1)),
             Hop::Direct,
-            Seen::Refused(428, may),
+            Outcome::Refused(428, may_have_run),
         ),
         (
             "no key",
             Key::Absent,
             Hop::Direct,
-            Seen::Refused(428, Verdict::NotRun),
+            Outcome::Refused(428, Verdict::NotRun),
         ),
         (
             "no pin",
             Key::Bad(pin::Error::Malformed),
             Hop::Direct,
-            Seen::Refused(428, Verdict::NotRun),
+            Outcome::Refused(428, Verdict::NotRun),
         ),
         (
             "another secret",
             Key::Bad(pin::Error::Foreign),
             Hop::Direct,
-            Seen::Refused(409, may),
+            Outcome::Refused(409, may_have_run),
         ),
     ];
     for (name, key, hop, want) in cases {
         let effects = arrive(&mut started(), 1, key, hop);
-        assert_eq!(seen(&effects), want, "{name}");
+        assert_eq!(outcome(&effects), want, "{name}");
     }
 }
 
@@ -207,23 +207,23 @@
 fn refused_key_stays_void() {
     let mut state = started();
     let soon = NOW + Millis(1000);
-    // The rate lets four through at once.
+    // The rate admits four at once.
     for request in 0..4 {
-        let Key::Good(mut key) = key(address(2), LIFE, soon) else {
+        let Key::Good(mut key) = key(address(2), INCARNATION, soon) else {
             unreachable!()
         };
         key.digest = pin::Digest::of(&format!("other-{request}"));
         assert_eq!(
-            seen(&arrive(&mut state, request, Key::Good(key), Hop::Direct)),
-            Seen::Runs
+            outcome(&arrive(&mut state, request, Key::Good(key), Hop::Direct)),
+            Outcome::Runs
         );
     }
-    let key = key(address(2), LIFE, soon);
+    let key = key(address(2), INCARNATION, soon);
     let over = arrive(&mut state, 5, key.clone(), Hop::Direct);
-    assert_eq!(seen(&over), Seen::Refused(429, Verdict::NotRun));
-    // An older send of it comes late, by another box.
+    assert_eq!(outcome(&over), Outcome::Refused(429, Verdict::NotRun));
+    // An earlier transmission of the key arrives late, through another box.
     let late = arrive(&mut state, 6, key, Hop::Pass);
-    assert_eq!(seen(&late), Seen::Refused(428, Verdict::NotRun));
+    assert_eq!(outcome(&late), Outcome::Refused(428, Verdict::NotRun));
 }
 
 #[test]
@@ -231,7 +231,7 @@
     let (ours, theirs) = (secret("0123456789abcdef"), secret("fedcba9876543210"));
     let pin = Pin {
         peer: address(2),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         expiry: NOW,
     };
     let prefix = pin.prefix(&ours);
@@ -244,7 +244,7 @@
             let at = usize::from(*at) % (bytes.len() - 1);
             bytes[at] = with % 128;
             let forged = String::from_utf8_lossy(&bytes).into_owned();
-            // Base64 has spare bits at its end: another text may read as the same pin.
+            // Base64 has spare bits at its end, so a different text may decode to the same pin.
             assert!(
                 Pin::read(&ours, &forged).is_ok_and(|p| p == pin)
                     || Pin::read(&ours, &forged).is_err()
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Where one box sends a request, when it waits, and when it is refused.
+//! Placement by one box: where it sends a request, when it queues one and when it refuses one.
 
 mod harness;
 
@@ -24,7 +24,7 @@
     BASE.to_owned() + &parts.concat() + "[selector all]\n"
 }
 
-/// Whether the one thing that happened is that the request waits.
+/// Reports whether the only effect is that the request was queued.
 fn waits(effects: &[Effect]) -> bool {
     matches!(effects, [Effect::Queued { .. }])
 }
@@ -56,7 +56,7 @@
     assert!(solo.ended(&first).is_empty());
     assert!(
         solo.state.holds(second.request),
-        "the second attempt is still in hand"
+        "the second attempt is still in flight"
     );
     solo.ended(&second);
     assert_eq!(solo.state.busy(), 0);
@@ -71,7 +71,7 @@
     ];
     let mut solo = Solo::new(&text(&parts));
     let mut running = sends(&solo.arrive("a", None)).remove(0);
-    // One caller floods the line before the other comes; its line does not count against the other.
+    // One caller fills the queue before the other arrives; its backlog must not delay the other.
     let long = Some(2600);
     for _ in 0..3 {
         assert!(waits(&solo.arrive("a", long)));
@@ -122,11 +122,11 @@
         (503, Verdict::NotRun)
     );
     assert!(refused[0].retry_after >= Some(Millis(500)));
-    // One that waits and is not served in time is told so at its deadline, not later.
+    // A queued request that is not served in time is refused at its deadline, not later.
     solo.arrive("a", Some(900));
     let refused = replies(&solo.pass(900));
     assert_eq!((refused.len(), refused[0].verdict), (1, Verdict::NotRun));
-    // One that was sent may have run.
+    // A request that was sent may have run.
     let effects = solo.pass(1200);
     assert_eq!(replies(&effects)[0].verdict, Verdict::MayHaveRun);
 }
@@ -172,18 +172,21 @@
     let names = ["one", "two", "tri"];
     let servers: String = names.map(|n| server(n, "perth", 1000)).concat();
     let mut solo = Solo::new(&text(&[caller("a", "rate=100000/s"), servers]));
-    let (mut fresh, mut again) = (0, 0);
+    let (mut requests, mut retries) = (0, 0);
     for _ in 0..1000 {
         let mut next = sends(&solo.arrive("a", None)).pop();
-        fresh += 1;
+        requests += 1;
         while let Some(send) = next {
-            // All fail in a way that does not open a breaker.
+            // These failures do not open a breaker.
             next = sends(&solo.failed(&send, Verdict::NotRun, Cause::Late)).pop();
-            again += u32::from(next.is_some());
+            retries += u32::from(next.is_some());
         }
     }
-    assert!(again >= 100, "retries happen");
-    assert!(again <= fresh / 5 + 20, "{again} retries of {fresh}");
+    assert!(retries >= 100, "retries happen");
+    assert!(
+        retries <= requests / 5 + 20,
+        "{retries} retries of {requests}"
+    );
 }
 
 #[test]
@@ -205,7 +208,11 @@
     );
     let refused = replies(&solo.arrive("a", None));
     assert!(refused.is_empty() || refused[0].status == 429);
-    assert_eq!(sends(&solo.arrive("b", None)).len(), 1, "others go on");
+    assert_eq!(
+        sends(&solo.arrive("b", None)).len(),
+        1,
+        "other callers are served"
+    );
 }
 
 #[test]
@@ -223,9 +230,9 @@
             .collect();
         sent.iter().filter(|s| region(&s.target) == "perth").count()
     };
-    // Both use the two slots at home first.
+    // Both slots at home are used first.
     assert_eq!(home("[weights]\naway=100\n"), 2);
-    // Where staying is worth more than any wait, nothing leaves.
+    // If staying at home outweighs any wait, no request leaves.
     let mut solo = Solo::new(&("[weights]\naway=1000000\n".to_owned() + &text(&parts)));
     solo.digest(50, 0);
     let sent: Vec<_> = (0..6)
@@ -254,12 +261,12 @@
         },
         0,
     );
-    let free = status.expect("explains").candidates[0].free;
+    let free = status.expect("the explanation is available").candidates[0].free;
     assert!(free <= 15, "{free} of 50 slots at once");
 }
 
-/// Of many servers each is found unreachable once; every request goes elsewhere, since nothing
-/// arrived twice.
+/// Each of many servers is found unreachable once. Every request is retried elsewhere, because none
+/// of the failed attempts arrived, so none takes from the retry budget.
 #[test]
 fn what_never_arrived_takes_no_budget() {
     let names: Vec<String> = (0..60).map(|n| format!("s{n}{}", n % 10)).collect();
@@ -268,12 +275,12 @@
     let mut solo = Solo::new(&text(&[caller("a", "rate=100000/s"), servers]));
     let mut fail = |cause, verdict| {
         let first = sends(&solo.arrive("a", None)).remove(0);
-        let again = sends(&solo.failed(&first, verdict, cause));
-        for send in &again {
+        let retries = sends(&solo.failed(&first, verdict, cause));
+        for send in &retries {
             solo.begun(send);
             solo.ended(send);
         }
-        again.len()
+        retries.len()
     };
     let unreachable: usize = (0..60)
         .map(|_| fail(Cause::Unreachable, Verdict::NotRun))
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing in flight, and new callers move.
+//! A planned stop cuts off no request in flight, and new callers use other boxes.
 
 mod harness;
 
@@ -23,7 +23,8 @@
     engine.post("/_behave", json!({ "token_ms": 15 })).await;
     app.post("/_behave", json!({ "run_ms": 2500 })).await;
 
-    // A stream through both boxes that stop, longer than the listeners stay open; a booking too.
+    // A stream through both boxes that stop, which lasts longer than their listeners stay open, and
+    // a booking.
     let perth = world.get("perth-1");
     let mut begun = perth.begin(PATH, &[], &chat("long", 250)).await;
     assert!(begun.next().await.is_some());
@@ -43,7 +44,7 @@
     let (booking, ()) = tokio::join!(booking, stop);
     assert_eq!(booking.finish().await.json()["run"], 1);
 
-    // New callers are told of other boxes, and are served.
+    // New callers are directed to other boxes, and are served.
     let other = world.get("perth-2");
     eventually("ask leaves the box out", || async {
         other
@@ -58,7 +59,7 @@
         Some(tokens("new", 2))
     );
 
-    // The first piece was taken off above.
+    // The first chunk was read above.
     let answer = begun.finish().await;
     assert!(answer.whole && answer.body.ends_with(b"data: [DONE]\n\n"));
     assert_eq!(
--- a/tests/platform_answers.rs
+++ b/tests/platform_answers.rs
@@ -1,4 +1,5 @@
-//! Backend servers of the platform that get things wrong: what callers see, and how often it ran.
+//! Faulty answers of the platform's backend servers: what callers receive, and how often the
+//! request ran.
 
 mod harness;
 
@@ -62,7 +63,7 @@
     assert_eq!(answer.status.as_u16(), 503, "both are full");
     assert!(!answer.header("retry-after").is_empty());
     assert_eq!(cloud.runs("full"), 2, "offered to both");
-    // Another backend server took over the address: it says so and runs nothing.
+    // Another backend server took over the address; it says so and runs nothing.
     let address = cloud.workers["i-1"].address;
     cloud.registry.remove("servers/i-1");
     cloud.registry.remove("servers/i-2");
@@ -173,8 +174,11 @@
         );
         let mut stream = TcpStream::connect(cloud.boxes[0].public)
             .await
-            .expect("it listens");
-        stream.write_all(text.as_bytes()).await.expect("it reads");
+            .expect("the box listens");
+        stream
+            .write_all(text.as_bytes())
+            .await
+            .expect("the box reads the request");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer).await;
         let answer = String::from_utf8_lossy(&answer).into_owned();
@@ -190,7 +194,7 @@
     cloud.add_box("atl").await;
     cloud.settled().await;
     let two = &cloud.boxes[1];
-    harness::eventually("both are named", || async {
+    harness::eventually("both are listed", || async {
         two.resolve("atl").await.len() == 2
     })
     .await;
@@ -201,7 +205,7 @@
     })
     .await;
     let two = &cloud.boxes[1];
-    harness::eventually("it is named no more", || async {
+    harness::eventually("it is no longer listed", || async {
         two.resolve("atl").await.len() == 1
     })
     .await;
--- a/tests/platform_heads.rs
+++ b/tests/platform_heads.rs
@@ -1,4 +1,4 @@
-//! Heads on the platform: what a prompt is, what an answer says of its request.
+//! Headers on the platform: parsing of prompts, and what an answer's headers say about its request.
 
 use hyper::{HeaderMap, StatusCode, header::HeaderName};
 use petreldrum::{
@@ -32,7 +32,7 @@
         ("prompt-prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
         ("deadline-ms", "900"),
     ]);
-    let prompt = head::prompt(&head).expect("it reads");
+    let prompt = head::prompt(&head).expect("the prompt parses");
     assert_eq!((prompt.tokens, prompt.output), (1460, 80));
     assert_eq!(prompt.shared_parts().len(), 2);
     assert_eq!(prompt.longest().map(|p| p.id), Some(0x5c1e_07a2));
@@ -61,7 +61,7 @@
     assert_eq!(judge(200, &[ECHO, SIGNED]), Outcome::Answer);
     assert_eq!(judge(404, &[ECHO, SIGNED]), Outcome::Answer);
     assert_eq!(judge(500, &[ECHO, SIGNED]), Outcome::Error);
-    assert_eq!(judge(200, &[ECHO]), Outcome::Unusable, "nobody signed it");
+    assert_eq!(judge(200, &[ECHO]), Outcome::Unusable, "it is unsigned");
     let other = ("request-id", "two");
     assert_eq!(judge(200, &[other, SIGNED]), Outcome::Unusable);
     assert_eq!(
@@ -84,9 +84,9 @@
 
 #[test]
 fn idle_times() {
-    let told = |value| head::keep_alive(&headers(&[("keep-alive", value)]));
+    let idle_time = |value| head::keep_alive(&headers(&[("keep-alive", value)]));
     let seconds = |n| Some(std::time::Duration::from_secs(n));
-    assert_eq!(told("timeout=4, max=10"), seconds(4));
-    assert_eq!(told("max=10, timeout=0"), seconds(0));
-    assert_eq!(told("max=10"), None);
+    assert_eq!(idle_time("timeout=4, max=10"), seconds(4));
+    assert_eq!(idle_time("max=10, timeout=0"), seconds(0));
+    assert_eq!(idle_time("max=10"), None);
 }
--- a/tests/platform_records.rs
+++ b/tests/platform_records.rs
@@ -1,4 +1,4 @@
-//! What stands in the platform's store becomes the product's own types, whole or not at all.
+//! Records of the platform's store are converted to the gateway's own types or rejected as a whole.
 
 mod harness;
 
@@ -30,8 +30,8 @@
   {"name":"app","coldStartS":0.0,"coldPerS":0.0}],"limits":{}}"#;
 
 fn config() -> Config {
-    let envelope = record::envelope(CONFIG.into()).expect("it reads");
-    record::config(&envelope, &places()).expect("it reads")
+    let envelope = record::envelope(CONFIG.into()).expect("the record parses");
+    record::config(&envelope, &places()).expect("the record parses")
 }
 
 fn route(config: &Config, host: &str, path: &str) -> Option<String> {
@@ -74,7 +74,7 @@
     let config = config();
     let repeatable = |name: &str| {
         let route = config.routes.iter().find(|r| r.name.as_str() == name);
-        route.expect("it is there").repeatable
+        route.expect("the route exists").repeatable
     };
     assert!(repeatable("r-1"), "a stream that may be resumed");
     assert!(!repeatable("r-2"), "a stream that may not");
@@ -85,7 +85,10 @@
 #[test]
 fn shares_follow_the_draw() {
     let config = config();
-    let caller = config.anonymous.clone().expect("there is one");
+    let caller = config
+        .anonymous
+        .clone()
+        .expect("an anonymous customer exists");
     let service = |draw| {
         let ask = petreldrum::config::Ask {
             customer: caller.clone(),
@@ -105,13 +108,16 @@
     let entry = br#"{"service":"model","address":"10.128.0.9:8080","zone":"atl-a","version":"v1",
         "slots":64,"state":"draining","coldRemainingMs":2500,"sequence":4,"timeLeftMs":2000}"#;
     let name = "i-1".parse().expect("a name");
-    let server = record::server(&name, entry, &places()).expect("it reads");
+    let server = record::server(&name, entry, &places()).expect("the record parses");
     assert!(server.leaving);
     assert_eq!(server.region.as_str(), "atl");
     assert_eq!(server.cold, Millis(2500));
-    let odd = br#"{"service":"model","address":"10.128.0.9:8080","zone":"x","slots":1,
+    let invalid = br#"{"service":"model","address":"10.128.0.9:8080","zone":"x","slots":1,
         "state":"ready"}"#;
-    assert!(record::server(&name, odd, &places()).is_err(), "nowhere");
+    assert!(
+        record::server(&name, invalid, &places()).is_err(),
+        "unknown zone"
+    );
     assert!(record::server(&name, b"{", &places()).is_err());
 }
 
@@ -129,13 +135,13 @@
 #[test]
 fn orders_and_what_is_written_of_them() {
     let entry = br#"{"service":"app","targetVersion":"v2","durationS":12.5}"#;
-    let order = rollout::order(entry, Revision::first(7)).expect("it reads");
+    let order = rollout::order(entry, Revision::first(7)).expect("the record parses");
     assert_eq!(order.release.as_str(), "v2");
     assert_eq!(
         (order.within, order.revision),
         (Millis(12_500), Revision::first(7))
     );
-    for (standing, word) in [
+    for (standing, state) in [
         (Standing::Active, "active"),
         (Standing::Completed, "completed"),
         (Standing::RolledBack, "rolled_back"),
@@ -144,9 +150,9 @@
         let text = String::from_utf8(bytes.clone()).expect("text");
         assert_eq!(
             text,
-            format!(r#"{{"state":"{word}","targetVersion":"v2"}}"#)
+            format!(r#"{{"state":"{state}","targetVersion":"v2"}}"#)
         );
-        let written = rollout::written(&bytes, Revision::first(8)).expect("it reads");
+        let written = rollout::written(&bytes, Revision::first(8)).expect("the record parses");
         assert_eq!(
             (written.standing, &written.release),
             (standing, &order.release)
@@ -160,9 +166,9 @@
         let entry = format!(r#"{{"targetVersion":"v2","durationS":{duration}}}"#);
         rollout::order(entry.as_bytes(), Revision::first(1)).map(|order| order.within)
     };
-    assert_eq!(order("-3").expect("it reads"), Millis(0));
-    assert_eq!(order("0").expect("it reads"), Millis(0));
-    assert_eq!(order("1e300").expect("it reads"), Millis(u64::MAX));
+    assert_eq!(order("-3").expect("the record parses"), Millis(0));
+    assert_eq!(order("0").expect("the record parses"), Millis(0));
+    assert_eq!(order("1e300").expect("the record parses"), Millis(u64::MAX));
     assert!(order("1e999").is_err());
     assert!(order("null").is_err());
 }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store fails in every way that it may, and service goes on.
+//! Service continues through every kind of failure of the platform's store.
 
 mod harness;
 
@@ -9,13 +9,13 @@
 use petreldrum_standin::registry::Fault;
 use tokio::time::sleep;
 
-/// Whether a request to this path and version of the configuration is served.
+/// Reports whether a request to this path is served; the path selects a configuration version.
 async fn served(cloud: &Cloud, path: &str, id: &str) -> bool {
     cloud.boxes[0].send(path, id, "").await.status.is_success()
 }
 
-/// One box whose store was silent for long enough for the held watch to be given up, and for further
-/// calls to be swallowed.
+/// Starts one box whose store is silent long enough for the pending watch to time out and for
+/// further calls to be lost.
 async fn after_a_silence() -> Cloud {
     let cloud = Cloud::serving(&["i-1"]).await;
     cloud.registry.set_fault(Fault::Silent);
@@ -70,7 +70,7 @@
     for fault in [Fault::Reset, Fault::Busy, Fault::TooMany, Fault::Silent] {
         cloud.registry.set_fault(fault);
         sleep(NEWS).await;
-        // The entry lapses while the store is away, and comes back after it.
+        // The entry expires while the store is unavailable, and is registered again afterwards.
         cloud.registry.remove("servers/i-1");
         assert!(served(&cloud, "/safe/x", "during").await, "{fault:?}");
         cloud.registry.set_fault(Fault::None);
@@ -88,7 +88,7 @@
     let mut cloud = Cloud::serving(&["i-1"]).await;
     let address = cloud.workers["i-1"].address;
     cloud.register("i-1", address, "atl", "draining");
-    eventually("nothing goes to it", || async {
+    eventually("no request is sent to it", || async {
         !served(&cloud, "/safe/x", "a").await
     })
     .await;
@@ -164,7 +164,7 @@
     sleep(NEWS).await;
     cloud.configure(2);
     cloud.registry.forget();
-    // Whoever begins anew after each lost page never comes to the last one.
+    // A reader that starts over after each lost page never reaches the last page.
     cloud.registry.set_fault(Fault::Uneven);
     eventually("the change is found", || served(&cloud, "/v2/x", "a")).await;
 }
@@ -177,7 +177,8 @@
     assert!(served(&cloud, "/v2/x", "a").await, "the change is in force");
 }
 
-/// In a fleet a watch is asked again only after a while, so that changes gather; each is heard.
+/// In a fleet, a watch is renewed only after a delay so that changes are batched; every change is
+/// still received.
 #[tokio::test]
 async fn changes_gather() {
     let mut cloud = Cloud::serving(&["i-1"]).await;
@@ -202,10 +203,13 @@
 #[test]
 fn larger_fleets_gather_for_longer() {
     let gathering = |boxes| petreldrum::fleet::gathering(boxes).duration();
-    assert!(gathering(9).is_zero(), "a few boxes hear at once");
+    assert!(
+        gathering(9).is_zero(),
+        "a few boxes receive changes at once"
+    );
     for boxes in [30, 79, 92, 360, 3000] {
         let pause = gathering(boxes).as_secs_f64();
-        assert!(pause <= 1.0, "news are due within seconds");
+        assert!(pause <= 1.0, "changes are due within seconds");
         let calls = boxes as f64 / pause;
         assert!(
             calls <= 130.0 || boxes > 92,
@@ -220,5 +224,8 @@
     let address = cloud.workers["i-1"].address;
     cloud.register("i-1", address, "atl", "draining");
     sleep(std::time::Duration::from_secs(2)).await;
-    assert!(!served(&cloud, "/safe/x", "a").await, "nothing goes to it");
+    assert!(
+        !served(&cloud, "/safe/x", "a").await,
+        "no request is sent to it"
+    );
 }
--- a/tests/prompt_cache.rs
+++ b/tests/prompt_cache.rs
@@ -1,4 +1,4 @@
-//! What a box believes of the parts of prompts that engines hold.
+//! A box's estimate of the prompt parts that engines have cached.
 
 use petreldrum::{
     memory::cache::{Cache, LONG},
@@ -25,33 +25,40 @@
 
 #[test]
 fn held_parts_are_not_read() {
-    let (here, there) = (Short(1), Short(2));
+    let (engine, other_engine) = (Short(1), Short(2));
     let mut cache = Cache::default();
     let unread = |cache: &Cache, at| cache.unread(&prompt(), at, Some(MEMORY), Time(0));
-    assert_eq!(unread(&cache, here), 13_700, "a short part is not followed");
-    cache.note(here, Some(SHARED), 13_750, Time(0));
-    assert_eq!(unread(&cache, here), 700);
-    assert_eq!(unread(&cache, there), 13_700);
+    assert_eq!(
+        unread(&cache, engine),
+        13_700,
+        "a short part is not followed"
+    );
+    cache.note(engine, Some(SHARED), 13_750, Time(0));
+    assert_eq!(unread(&cache, engine), 700);
+    assert_eq!(unread(&cache, other_engine), 13_700);
 }
 
 #[test]
 fn unused_parts_give_way() {
-    let here = Short(1);
+    let engine = Short(1);
     let mut cache = Cache::default();
-    cache.note(here, Some(SHARED), 13_750, Time(0));
-    cache.note(here, None, 200_000, Time(10));
-    assert!(!cache.holds(here, SHARED.id, Some(MEMORY), Time(20)));
-    assert!(cache.holds(here, SHARED.id, None, Time(20)));
-    assert!(!cache.holds(here, SHARED.id, None, Time(60_000)), "too old");
+    cache.note(engine, Some(SHARED), 13_750, Time(0));
+    cache.note(engine, None, 200_000, Time(10));
+    assert!(!cache.holds(engine, SHARED.id, Some(MEMORY), Time(20)));
+    assert!(cache.holds(engine, SHARED.id, None, Time(20)));
+    assert!(
+        !cache.holds(engine, SHARED.id, None, Time(60_000)),
+        "too old"
+    );
 }
 
 #[test]
 fn engines_that_left_are_forgotten() {
-    let here = Short(1);
+    let engine = Short(1);
     let mut cache = Cache::default();
-    cache.note(here, Some(SHARED), LONG, Time(0));
-    cache.retain(|short| short != here);
-    assert!(!cache.holds(here, SHARED.id, None, Time(1)));
+    cache.note(engine, Some(SHARED), LONG, Time(0));
+    cache.retain(|short| short != engine);
+    assert!(!cache.holds(engine, SHARED.id, None, Time(1)));
 }
 
 #[test]
--- a/tests/quarantine_table.rs
+++ b/tests/quarantine_table.rs
@@ -1,7 +1,8 @@
-//! The table of contents that end servers: what convicts, what clears, and what gives way.
+//! The table of contents that crash servers: what quarantines a content, what clears it, and what
+//! is evicted.
 //!
-//! A batch of 62 requests breaks with one server, and one of them is guilty: the table must find that one
-//! after three servers, forget the others, and never grow beyond its bound.
+//! A batch of 62 requests breaks with one server, and one of them caused the crash. The table must
+//! identify it after three servers, forget the others, and stay within its bound.
 
 use petreldrum::{
     content::{Content, Fingerprint},
@@ -30,14 +31,14 @@
 #[test]
 fn three_servers_are_the_proof() {
     let mut table = Quarantine::default();
-    let deadly = content(1, 1);
+    let crashing = content(1, 1);
     for life in 1..=2 {
-        table.strike(strike(deadly, life), NOW);
-        assert_eq!(table.held(&deadly, NOW), None);
+        table.strike(strike(crashing, life), NOW);
+        assert_eq!(table.held(&crashing, NOW), None);
     }
-    let step = table.strike(strike(deadly, 3), NOW);
+    let step = table.strike(strike(crashing, 3), NOW);
     assert!(matches!(step, Some(Step::Held { ends: 3, .. })));
-    assert_eq!(table.held(&deadly, NOW), Some(HOLD));
+    assert_eq!(table.held(&crashing, NOW), Some(HOLD));
     assert_eq!(table.held(&content(1, 2), NOW), None, "another content");
     assert_eq!(table.held(&content(2, 1), NOW), None, "another customer");
 }
@@ -45,16 +46,16 @@
 #[test]
 fn one_end_that_two_boxes_tell_counts_once() {
     let mut table = Quarantine::default();
-    let deadly = content(1, 1);
-    table.strike(strike(deadly, 1), NOW);
-    table.strike(strike(deadly, 2), NOW);
+    let crashing = content(1, 1);
+    table.strike(strike(crashing, 1), NOW);
+    table.strike(strike(crashing, 2), NOW);
     let late = NOW + Millis(4000);
-    assert_eq!(table.strike(strike(deadly, 2), late), None);
-    assert_eq!(table.held(&deadly, late), None);
-    // A server that tells no life of its own may end again.
+    assert_eq!(table.strike(strike(crashing, 2), late), None);
+    assert_eq!(table.held(&crashing, late), None);
+    // A server that reports no incarnation may crash again.
     let again = NOW + Millis(6000);
-    assert!(table.strike(strike(deadly, 2), again).is_some());
-    assert!(table.held(&deadly, again).is_some());
+    assert!(table.strike(strike(crashing, 2), again).is_some());
+    assert!(table.held(&crashing, again).is_some());
 }
 
 #[test]
@@ -64,7 +65,7 @@
     table.strike(strike(popular, 1), NOW);
     table.strike(strike(popular, 2), NOW);
     assert!(table.clear(popular, NOW).is_some());
-    // All servers end at once while many callers ask for it.
+    // All servers crash at once while many callers request this content.
     for life in 3..20 {
         assert_eq!(table.strike(strike(popular, life), NOW), None);
     }
@@ -72,7 +73,11 @@
         content: popular,
         left: HOLD,
     };
-    assert_eq!(table.hold(held, NOW), None, "nor on another box's word");
+    assert_eq!(
+        table.hold(held, NOW),
+        None,
+        "not on a report from another box either"
+    );
     let later = NOW + Millis(31_000);
     assert!(table.strike(strike(popular, 20), later).is_some());
 }
@@ -98,28 +103,28 @@
 #[test]
 fn a_hold_lapses_and_one_more_end_renews_it() {
     let mut table = Quarantine::default();
-    let deadly = content(1, 1);
+    let crashing = content(1, 1);
     for life in 1..=3 {
-        table.strike(strike(deadly, life), NOW);
+        table.strike(strike(crashing, life), NOW);
     }
     let over = NOW + HOLD;
     table.sweep(over);
-    assert_eq!(table.held(&deadly, over), None, "it gets another chance");
-    table.strike(strike(deadly, 4), over);
-    assert_eq!(table.held(&deadly, over), Some(HOLD));
-    // Nothing is remembered for ever.
+    assert_eq!(table.held(&crashing, over), None, "the hold expires");
+    table.strike(strike(crashing, 4), over);
+    assert_eq!(table.held(&crashing, over), Some(HOLD));
+    // Entries expire.
     table.sweep(over + HOLD);
     table.sweep(over + HOLD + HOLD);
-    table.strike(strike(deadly, 5), over + HOLD + HOLD);
-    assert_eq!(table.held(&deadly, over + HOLD + HOLD), None);
+    table.strike(strike(crashing, 5), over + HOLD + HOLD);
+    assert_eq!(table.held(&crashing, over + HOLD + HOLD), None);
 }
 
 #[test]
 fn no_customer_crowds_out_another() {
     let mut table = Quarantine::default();
-    let deadly = content(1, 1);
+    let crashing = content(1, 1);
     for life in 1..=3 {
-        table.strike(strike(deadly, life), NOW);
+        table.strike(strike(crashing, life), NOW);
     }
     for number in 0..3000 {
         for life in 1..=3 {
@@ -127,12 +132,12 @@
         }
     }
     let later = NOW + Millis(3000);
-    assert!(table.held(&deadly, later).is_some());
+    assert!(table.held(&crashing, later).is_some());
     assert_eq!(table.all_held(later).len(), MAX_EACH + 1);
-    let told = table.told(later);
-    assert_eq!(told.len(), MAX_TOLD, "messages stay small");
-    assert!(told.iter().any(|held| held.content == deadly));
-    // Nor do many customers together fill it without bound.
+    let advertised = table.told(later);
+    assert_eq!(advertised.len(), MAX_TOLD, "messages stay small");
+    assert!(advertised.iter().any(|held| held.content == crashing));
+    // Many customers together must not exceed the bound either.
     for customer in 10..3000 {
         table.strike(strike(content(customer, 1), 1), later);
         for life in 1..=3 {
@@ -145,18 +150,18 @@
 #[test]
 fn innocent_marks_do_not_crowd_out_the_guilty_one() {
     let mut table = Quarantine::default();
-    let deadly = content(1, 0);
+    let crashing = content(1, 0);
     let mut now = NOW;
     for life in 1..=3 {
-        // Whoever ran beside it differs each time, and there are more of them than the table holds.
-        table.strike(strike(deadly, life), now);
+        // The concurrent contents differ each time, and exceed the table's capacity.
+        table.strike(strike(crashing, life), now);
         for number in 1..=400 {
-            let beside = content(1, u64::from(life) * 1000 + number);
-            table.strike(strike(beside, life), now + Millis(1));
+            let concurrent = content(1, u64::from(life) * 1000 + number);
+            table.strike(strike(concurrent, life), now + Millis(1));
         }
         now = now + Millis(1000);
     }
-    assert!(table.held(&deadly, now).is_some());
+    assert!(table.held(&crashing, now).is_some());
 }
 
 #[test]
@@ -170,17 +175,17 @@
                     strike(content(1, u64::from(number % 4)), u32::from(life % 5))
                 })
                 .collect();
-            let mut mixed = all.clone();
+            let mut shuffled = all.clone();
             for (from, to) in order.iter().enumerate().take(all.len()) {
-                mixed.swap(from, to % all.len());
+                shuffled.swap(from, to % all.len());
             }
-            // A second report of each end changes nothing.
-            mixed.extend(all.iter().rev());
+            // A second report of the same crash changes nothing.
+            shuffled.extend(all.iter().rev());
             let [mut one, mut other] = [Quarantine::default(), Quarantine::default()];
             for strike in all {
                 one.strike(strike, NOW);
             }
-            for strike in mixed {
+            for strike in shuffled {
                 other.strike(strike, NOW);
             }
             let sorted = |table: &Quarantine| {
--- a/tests/record_gaps.rs
+++ b/tests/record_gaps.rs
@@ -1,9 +1,10 @@
-//! Records of a body: whatever is lost of them, what is read is the beginning of what was written.
+//! Checked records of a body: whatever part is lost, the bytes read are a prefix of those written.
 
 use bytes::Bytes;
 use petreldrum::gateway::records::{Reader, Writer};
 
-/// Reads `bytes` in pieces of these sizes, as far as there is no gap.
+/// Reads `bytes` in pieces of these sizes up to the first gap, and reports whether the end was
+/// reached.
 fn read(bytes: &[u8], sizes: &[u8]) -> (Vec<u8>, bool) {
     let mut reader = Reader::default();
     let (mut rest, mut all) = (bytes, Vec::new());
--- a/tests/reducer_fuzz.rs
+++ b/tests/reducer_fuzz.rs
@@ -1,4 +1,4 @@
-//! All faults mixed, over four reducers in two regions, against the oracle.
+//! Fuzzes four reducers in two regions with all faults combined, checked by the oracle.
 
 mod harness;
 
--- a/tests/region_load.rs
+++ b/tests/region_load.rs
@@ -1,15 +1,17 @@
-//! Many boxes before few backend servers: requests go where places are free, and not to the dead.
+//! Many boxes with few backend servers: requests go to free slots, and not to crashed servers.
 //!
-//! Symptom: on a day of 79 boxes the model engines turned 5,642 of 47,080 arrivals away while other
-//! engines had free slots, and 1,385 tries of the worst four seconds went to engines that had crashed.
-//! Sequence: a region of 26 boxes or more before some dozens of engines; some get slow or crash at once.
-//! Cause: heartbeats of all to all come every 150 ms times the boxes of the region, so that load was
-//! 3.75 s old there and 15 s old at a hundred boxes (`sent … load_age=`), and each box found out by its
-//! own three tries that an engine was gone (`failed … cause=Unreachable` after `sent … free=12`).
+//! Symptom: with 79 boxes, the engines refused 5,642 of 47,080 arrivals while other engines had
+//! free slots, and 1,385 attempts of the worst four seconds went to crashed engines. Sequence: in a
+//! region of 26 boxes or more with some dozens of engines, some engines slow down or crash at once.
+//! Cause: each box sends heartbeats to all others every 150 ms times the number of boxes in the
+//! region, so load was 3.75 s old at 26 boxes and 15 s old at a hundred (`sent … load_age=`). Each
+//! box also needed three attempts of its own to detect that an engine was gone (`failed …
+//! cause=Unreachable` after `sent … free=12`).
 //!
-//! Before and after, at a hundred boxes: 170 of 1,239 and 11 of 1,137 tries shed while some servers are
-//! slow; 240 and 143 tries at five dead servers. Where all servers are alike old word does no harm, and
-//! fresh word must not do any: where all boxes went to the least busy server, 477 of 2,332 were shed.
+//! Before and after the change, at a hundred boxes: 170 of 1,239 and 11 of 1,137 attempts shed
+//! while some servers are slow; 240 and 143 attempts to five crashed servers. If all servers are
+//! equally fast, stale load does no harm, and fresh load must not do any either: when all boxes
+//! chose the least busy server, 477 of 2,332 were shed.
 
 mod harness;
 
@@ -29,13 +31,13 @@
     verdict::Verdict,
 };
 
-/// Requests that a server works on at once, and that wait at it.
+/// Requests that a server runs at once, and that it queues.
 const SLOTS: usize = 6;
 const QUEUE: usize = 6;
-/// How long it works on one, in ms.
-const WORK: u64 = 200;
-/// Time between two looks at the servers, in ms.
-const STEP: u64 = 10;
+/// Service time of a request, in ms.
+const SERVICE_MS: u64 = 200;
+/// Simulation step of the servers, in ms.
+const STEP_MS: u64 = 10;
 
 struct Running {
     end: Time,
@@ -43,26 +45,26 @@
     send: Send,
 }
 
-/// A backend server.
+/// A simulated backend server.
 #[derive(Default)]
 struct Server {
     running: Vec<Running>,
     waiting: VecDeque<(usize, Send)>,
-    dead: bool,
-    /// How many times longer than others it takes.
-    slow: u64,
-    /// Requests that it began.
-    begun: usize,
+    crashed: bool,
+    /// Factor by which its service time is longer; zero counts as one.
+    slow_factor: u64,
+    /// Requests that it started.
+    started: usize,
 }
 
-/// A region's boxes before its servers.
+/// The boxes and servers of a region.
 struct Region {
     crowd: Crowd,
     servers: Vec<Server>,
     requests: u64,
-    /// Tries that found the server's slots and line full.
+    /// Attempts refused because the server's slots and queue were full.
     shed: usize,
-    /// Tries that found nobody.
+    /// Attempts to a crashed server.
     unreachable: usize,
     served: usize,
 }
@@ -82,11 +84,11 @@
         author: String::new(),
         text: BASE.to_owned() + &caller + &servers + "[selector all]\n",
     };
-    Arc::new(Config::parse("test", &envelope).expect("checks"))
+    Arc::new(Config::parse("test", &envelope).expect("the configuration is valid"))
 }
 
-/// A number that looks drawn, the same in each run.
-fn drawn(number: u64) -> u64 {
+/// Returns a pseudo-random number that is the same in each run.
+fn pseudo_random(number: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&number.to_le_bytes())
 }
 
@@ -111,16 +113,16 @@
         }
     }
 
-    /// Lets time pass while `rate` requests a second come, each at some box.
+    /// Advances time while `rate` requests a second arrive, each at a pseudo-random box.
     fn pass(&mut self, millis: u64, rate: u64) {
-        for step in 1..=millis / STEP {
-            self.crowd.now = self.crowd.now + Millis(STEP);
-            if (step * STEP).is_multiple_of(TICK) {
+        for step in 1..=millis / STEP_MS {
+            self.crowd.now = self.crowd.now + Millis(STEP_MS);
+            if (step * STEP_MS).is_multiple_of(TICK) {
                 let effects = self.crowd.tick();
                 self.carry_out(effects);
             }
-            self.work();
-            for _ in 0..rate * STEP / 1000 {
+            self.advance_servers();
+            for _ in 0..rate * STEP_MS / 1000 {
                 self.arrive();
             }
         }
@@ -130,14 +132,14 @@
         self.requests += 1;
         let mut event = arrival(self.requests, "a", None);
         if let Event::Arrived(arrival) = &mut event {
-            arrival.draw = drawn(self.requests);
+            arrival.draw = pseudo_random(self.requests);
         }
-        let number = drawn(self.requests + 1_000_000) as usize % self.crowd.boxes.len();
+        let number = pseudo_random(self.requests + 1_000_000) as usize % self.crowd.boxes.len();
         let effects = self.crowd.step(number, event);
         self.carry_out(effects.into_iter().map(|e| (number, e)).collect());
     }
 
-    fn tell(&mut self, number: usize, event: Event) {
+    fn notify(&mut self, number: usize, event: Event) {
         let effects = self.crowd.step(number, event);
         self.carry_out(effects.into_iter().map(|e| (number, e)).collect());
     }
@@ -145,13 +147,13 @@
     fn carry_out(&mut self, effects: Vec<(usize, Effect)>) {
         for (number, effect) in effects {
             if let Effect::Send(send) = effect {
-                self.take(number, send);
+                self.deliver(number, send);
             }
         }
     }
 
-    /// A try reaches its server.
-    fn take(&mut self, number: usize, send: Send) {
+    /// Delivers an attempt to its server.
+    fn deliver(&mut self, number: usize, send: Send) {
         let Target::Backend { name, .. } = &send.target else {
             panic!("there is one region");
         };
@@ -164,19 +166,19 @@
             verdict: Verdict::NotRun,
             cause,
         };
-        if server.dead {
+        if server.crashed {
             self.unreachable += 1;
-            self.tell(number, refused(Cause::Unreachable));
+            self.notify(number, refused(Cause::Unreachable));
         } else if server.waiting.len() >= QUEUE {
             self.shed += 1;
-            self.tell(number, refused(Cause::Full));
+            self.notify(number, refused(Cause::Full));
         } else {
             server.waiting.push_back((number, send));
         }
     }
 
-    /// The servers end what is done and begin what waits.
-    fn work(&mut self) {
+    /// Ends the requests that are done and starts queued ones.
+    fn advance_servers(&mut self) {
         let now = self.crowd.now;
         for index in 0..self.servers.len() {
             let server = &mut self.servers[index];
@@ -184,26 +186,26 @@
                 server.running.drain(..).partition(|r| r.end <= now);
             server.running = running;
             let free = SLOTS - server.running.len();
-            let begun: Vec<_> = server
+            let started: Vec<_> = server
                 .waiting
                 .drain(..free.min(server.waiting.len()))
                 .collect();
-            server.begun += begun.len();
-            for (number, send) in &begun {
+            server.started += started.len();
+            for (number, send) in &started {
                 server.running.push(Running {
-                    end: now + Millis(WORK * server.slow.max(1)),
+                    end: now + Millis(SERVICE_MS * server.slow_factor.max(1)),
                     number: *number,
                     send: send.clone(),
                 });
             }
-            for (number, send) in begun {
+            for (number, send) in started {
                 let (request, attempt) = (send.request, send.attempt);
-                self.tell(number, Event::Begun { request, attempt });
+                self.notify(number, Event::Begun { request, attempt });
             }
             for Running { number, send, .. } in done {
                 self.served += 1;
                 let (request, attempt) = (send.request, send.attempt);
-                self.tell(
+                self.notify(
                     number,
                     Event::Ended {
                         request,
@@ -216,21 +218,21 @@
         }
     }
 
-    /// Whether no more than one try in fifty found a server full.
-    fn sheds_little(&self) {
+    /// Asserts that at most one attempt in fifty was shed.
+    fn assert_few_shed(&self) {
         let tries = self.served + self.shed;
         let boxes = self.crowd.boxes.len();
         assert!(
             self.shed * 50 <= tries,
-            "{} of {tries} tries were shed, {boxes} boxes",
+            "{} of {tries} attempts were shed, {boxes} boxes",
             self.shed
         );
     }
 
-    /// A server crashes: its requests break.
-    fn kill(&mut self, index: usize) {
+    /// Crashes a server, which breaks its requests.
+    fn crash(&mut self, index: usize) {
         let server = &mut self.servers[index];
-        server.dead = true;
+        server.crashed = true;
         let running = std::mem::take(&mut server.running);
         let waiting = std::mem::take(&mut server.waiting);
         let running = running.into_iter().map(|r| (r.number, r.send));
@@ -242,14 +244,14 @@
                 verdict: Verdict::MayHaveRun,
                 cause: Cause::Broken,
             };
-            self.tell(number, event);
+            self.notify(number, event);
         }
     }
 }
 
-/// What `servers` can do in a second.
+/// Returns the requests per second that `servers` can serve.
 fn capacity(servers: usize) -> u64 {
-    (servers * SLOTS) as u64 * 1000 / WORK
+    (servers * SLOTS) as u64 * 1000 / SERVICE_MS
 }
 
 #[test]
@@ -257,20 +259,20 @@
     for boxes in [26, 100] {
         let mut region = Region::new(boxes, 20);
         region.pass(5000, capacity(20) * 8 / 10);
-        region.sheds_little();
+        region.assert_few_shed();
     }
 }
 
-/// Some servers take longer: they are full although few requests go there.
+/// Some servers are slower, so they are full although they receive few requests.
 #[test]
 fn slow_servers_get_less() {
     for boxes in [26, 100] {
         let mut region = Region::new(boxes, 20);
         for server in region.servers.iter_mut().take(8) {
-            server.slow = 6;
+            server.slow_factor = 6;
         }
         region.pass(6000, capacity(12) * 8 / 10);
-        region.sheds_little();
+        region.assert_few_shed();
     }
 }
 
@@ -280,12 +282,12 @@
         let mut region = Region::new(boxes, 20);
         region.pass(2000, capacity(20) / 2);
         for index in 0..5 {
-            region.kill(index);
+            region.crash(index);
         }
         region.pass(4000, capacity(20) / 2);
         assert!(
             region.unreachable <= 180,
-            "{} tries of {} went to 5 dead servers, {boxes} boxes",
+            "{} attempts, with {} served, went to 5 crashed servers, {boxes} boxes",
             region.unreachable,
             region.served
         );
@@ -297,14 +299,18 @@
     let mut region = Region::new(40, 10);
     region.pass(2000, capacity(10) / 2);
     for index in 0..5 {
-        region.kill(index);
+        region.crash(index);
     }
     region.pass(4000, capacity(10) / 4);
     for server in &mut region.servers {
-        (server.dead, server.begun) = (false, 0);
+        (server.crashed, server.started) = (false, 0);
     }
     region.pass(4000, capacity(10) * 6 / 10);
     for (index, server) in region.servers.iter().enumerate() {
-        assert!(server.begun >= 20, "server {index} got {}", server.begun);
+        assert!(
+            server.started >= 20,
+            "server {index} got {}",
+            server.started
+        );
     }
 }
--- a/tests/registry_fuzz.rs
+++ b/tests/registry_fuzz.rs
@@ -1,5 +1,5 @@
-//! Any order of requests, outcomes, news of backend servers and time, with one box on a platform
-//! where backend servers register themselves: what must hold of each request.
+//! Fuzzes one box on a platform where backend servers register themselves, with requests, outcomes,
+//! registry changes and time in any order, and checks invariants of each request.
 
 mod harness;
 
@@ -37,14 +37,14 @@
   "targetLatencyMs":400,"service":"s","maxAttempts":2,"homeRegions":["mcn"]}],
  "services":[{"name":"s","coldPerS":8.0}],"limits":{}}"#;
 const PATHS: [&str; 4] = ["/safe/x", "/once/x", "/stream/x", "/away/x"];
-/// How many backend servers may run a request of each path.
-const RUNS: [usize; 4] = [2, 1, 2, 2];
+/// Maximum number of backend servers that may run a request of each path.
+const MAX_RUNS: [usize; 4] = [2, 1, 2, 2];
 const SERVERS: usize = 4;
-/// The most that the cold rate lets one server get within a second, of all boxes.
-const COLD_MOST: usize = 15;
+/// Maximum number of requests that a cold server may receive from all boxes within a second.
+const MAX_COLD_PER_SECOND: usize = 15;
 
-/// What backend servers say of their limits.
-const WORDS: [Word; 6] = [
+/// Limits in the answers of backend servers.
+const LIMIT_HEADERS: [Word; 6] = [
     Word::Silent,
     Word::Unreadable,
     Word::Most(Rate(0.0)),
@@ -53,42 +53,43 @@
     Word::Most(Rate(20.0)),
 ];
 
-/// A limit that a backend server named, and what it got since it named this one.
+/// A limit that a backend server named, and the requests that it received since.
 struct Limited {
     rate: Rate,
     at: Time,
     since: Time,
-    got: usize,
+    received: usize,
 }
 
 impl Limited {
-    /// What one box may have sent since then: the rate, and a second of it or one request saved up.
-    fn most(&self, now: Time) -> usize {
+    /// Returns the number of requests that one box may have sent since then: the rate, plus one
+    /// second of it and one request saved up.
+    fn max_requests(&self, now: Time) -> usize {
         let rate = self.rate.0.max(PROBE.0);
         let seconds = now.since(self.since).0 as f64 / 1000.0;
         (rate * (seconds + 1.0)) as usize + 1
     }
 }
 
-/// One request as its caller knows it.
+/// Actual state of one request, as its caller sees it.
 #[derive(Default)]
-struct Seen {
+struct Tracked {
     path: usize,
     open: Option<Send>,
     begun: bool,
     runs: usize,
     may_have_run: bool,
-    over: bool,
+    finished: bool,
 }
 
 struct World {
     state: State<Balanced>,
     now: Time,
-    requests: HashMap<id::Request, Seen>,
-    last: u64,
-    lives: [u64; SERVERS],
-    /// How often each started again under its name.
-    births: [u64; SERVERS],
+    requests: HashMap<id::Request, Tracked>,
+    last_request: u64,
+    replacements: [u64; SERVERS],
+    /// Number of times that each server was started under its current name, counted from one.
+    starts: [u64; SERVERS],
     leaving: BTreeSet<String>,
     evacuated: bool,
     cold: HashMap<String, (Time, Vec<Time>)>,
@@ -102,7 +103,7 @@
         if leaving { "draining" } else { "ready" }
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::server(&name, entry.as_bytes(), &places()).expect("the record parses")
 }
 
 impl World {
@@ -124,16 +125,16 @@
             state: State::new(identity, Balanced),
             now: Time(0),
             requests: HashMap::new(),
-            last: 0,
-            lives: [0; SERVERS],
-            births: [1; SERVERS],
+            last_request: 0,
+            replacements: [0; SERVERS],
+            starts: [1; SERVERS],
             leaving: BTreeSet::new(),
             evacuated: false,
             cold: HashMap::new(),
             limited: HashMap::new(),
         };
-        let envelope = record::envelope(CONFIG.into()).expect("it reads");
-        let config = Arc::new(record::config(&envelope, &places()).expect("it reads"));
+        let envelope = record::envelope(CONFIG.into()).expect("the record parses");
+        let config = Arc::new(record::config(&envelope, &places()).expect("the record parses"));
         let source = Source::Store;
         world.step(Event::Offered { config, source });
         let all = (0..SERVERS).map(|index| backend(&world.name(index), false, 0, 1));
@@ -146,7 +147,7 @@
     }
 
     fn name(&self, index: usize) -> String {
-        format!("i-{index}-{}", self.lives[index])
+        format!("i-{index}-{}", self.replacements[index])
     }
 
     fn step(&mut self, event: Event) {
@@ -159,36 +160,45 @@
         match effect {
             Effect::Send(send) => self.sent(send),
             Effect::Abort { request, attempt } => {
-                let seen = self.requests.get_mut(&request).expect("it is known");
-                assert_eq!(seen.open.as_ref().map(|s| s.attempt), Some(attempt));
-                seen.open = None;
-                seen.may_have_run = true;
-                seen.runs += 1;
+                let tracked = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("the request is tracked");
+                assert_eq!(tracked.open.as_ref().map(|s| s.attempt), Some(attempt));
+                tracked.open = None;
+                tracked.may_have_run = true;
+                tracked.runs += 1;
             }
             Effect::Leave { request, attempt } => {
-                let seen = self.requests.get_mut(&request).expect("it is known");
-                assert_eq!(seen.open.as_ref().map(|s| s.attempt), Some(attempt));
+                let tracked = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("the request is tracked");
+                assert_eq!(tracked.open.as_ref().map(|s| s.attempt), Some(attempt));
                 assert!(
-                    seen.begun && PATHS[seen.path] == "/stream/x",
-                    "it cannot go on"
+                    tracked.begun && PATHS[tracked.path] == "/stream/x",
+                    "only a started stream can be resumed"
                 );
-                seen.open = None;
-                seen.may_have_run = true;
-                seen.runs += 1;
+                tracked.open = None;
+                tracked.may_have_run = true;
+                tracked.runs += 1;
             }
             Effect::Reply { request, reply } => {
-                let seen = self.requests.get_mut(&request).expect("it is known");
-                assert!(!seen.over, "one final answer");
+                let tracked = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("the request is tracked");
+                assert!(!tracked.finished, "one final answer");
                 assert!(
-                    seen.open.is_none(),
+                    tracked.open.is_none(),
                     "nothing runs for a request that was given up"
                 );
-                seen.over = true;
-                if seen.may_have_run {
-                    assert_ne!(reply.verdict, Verdict::NotRun, "that would be untrue");
+                tracked.finished = true;
+                if tracked.may_have_run {
+                    assert_ne!(reply.verdict, Verdict::NotRun, "it may have run");
                 }
                 if reply.verdict == Verdict::NotRun && reply.status == 503 {
-                    assert!(reply.retry_after.is_some(), "when to come back");
+                    assert!(reply.retry_after.is_some(), "a refusal names a retry time");
                 }
             }
             _ => {}
@@ -207,35 +217,48 @@
         {
             times.push(self.now);
             let recent = times.iter().filter(|t| self.now.since(**t) < Millis(1000));
-            assert!(recent.count() <= COLD_MOST, "{name} is cold");
+            assert!(recent.count() <= MAX_COLD_PER_SECOND, "{name} is cold");
         }
         if let Some(limited) = self.limited.get_mut(&name) {
-            limited.got += 1;
-            let most = limited.most(self.now);
-            assert!(limited.got <= most, "{name} takes {}", limited.rate);
+            limited.received += 1;
+            let max_requests = limited.max_requests(self.now);
+            assert!(
+                limited.received <= max_requests,
+                "{name} takes {}",
+                limited.rate
+            );
         }
-        let seen = self.requests.get_mut(&send.request).expect("it is known");
-        assert!(!seen.over && seen.open.is_none(), "one attempt at a time");
-        assert_ne!(PATHS[seen.path], "/away/x", "it may not run in this region");
-        let repeatable = PATHS[seen.path] != "/once/x";
-        assert!(repeatable || !seen.may_have_run, "it may not run twice");
+        let tracked = self
+            .requests
+            .get_mut(&send.request)
+            .expect("the request is tracked");
         assert!(
-            seen.runs < RUNS[seen.path],
+            !tracked.finished && tracked.open.is_none(),
+            "one attempt at a time"
+        );
+        assert_ne!(
+            PATHS[tracked.path], "/away/x",
+            "it may not run in this region"
+        );
+        let repeatable = PATHS[tracked.path] != "/once/x";
+        assert!(repeatable || !tracked.may_have_run, "it may not run twice");
+        assert!(
+            tracked.runs < MAX_RUNS[tracked.path],
             "as many runs as the route permits"
         );
         assert!(send.not_after <= self.now + Millis(4000));
-        seen.begun = false;
-        seen.open = Some(send);
+        tracked.begun = false;
+        tracked.open = Some(send);
     }
 
     fn arrive(&mut self, path: usize) {
-        self.last += 1;
-        let request = id::Request(self.last);
-        let seen = Seen {
+        self.last_request += 1;
+        let request = id::Request(self.last_request);
+        let tracked = Tracked {
             path,
-            ..Seen::default()
+            ..Tracked::default()
         };
-        self.requests.insert(request, seen);
+        self.requests.insert(request, tracked);
         self.step(Event::Arrived(Arrival {
             content: Default::default(),
             tag: None,
@@ -244,9 +267,9 @@
             host: Some("h".to_owned()),
             path: PATHS[path].to_owned(),
             model: None,
-            prefix: self.last,
+            prefix: self.last_request,
             prompt: None,
-            draw: self.last,
+            draw: self.last_request,
             runs: None,
             key: Key::Absent,
             left: Some(Millis(3000)),
@@ -254,11 +277,11 @@
         }));
     }
 
-    /// Some request with an attempt in hand.
+    /// Picks a request with an attempt in flight.
     fn pick(&self, choice: u8) -> Option<(id::Request, Send, bool)> {
-        let open = |(request, seen): (&id::Request, &Seen)| {
-            let send = seen.open.clone()?;
-            Some((*request, send, seen.begun))
+        let open = |(request, tracked): (&id::Request, &Tracked)| {
+            let send = tracked.open.clone()?;
+            Some((*request, send, tracked.begun))
         };
         let mut all: Vec<_> = self.requests.iter().filter_map(open).collect();
         all.sort_by_key(|(request, ..)| *request);
@@ -271,7 +294,10 @@
             return;
         };
         let attempt = send.attempt;
-        let seen = self.requests.get_mut(&request).expect("it is known");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is tracked");
         let failed = |verdict, cause| Event::Failed {
             request,
             attempt,
@@ -283,13 +309,13 @@
             (false, 1) => failed(Verdict::MayHaveRun, Cause::Broken),
             (false, 2) => failed(Verdict::Ran, Cause::Errored),
             (false, _) => {
-                seen.begun = true;
+                tracked.begun = true;
                 self.step(Event::Begun { request, attempt });
                 return;
             }
-            (true, 0) if PATHS[seen.path] == "/stream/x" => Event::Broke { request, attempt },
+            (true, 0) if PATHS[tracked.path] == "/stream/x" => Event::Broke { request, attempt },
             (true, kind) => {
-                seen.over = true;
+                tracked.finished = true;
                 let whole = kind % 2 == 0;
                 Event::Ended {
                     request,
@@ -299,7 +325,7 @@
                 }
             }
         };
-        seen.open = None;
+        tracked.open = None;
         if !matches!(
             event,
             Event::Failed {
@@ -307,16 +333,16 @@
                 ..
             }
         ) {
-            seen.may_have_run = true;
-            seen.runs += 1;
+            tracked.may_have_run = true;
+            tracked.runs += 1;
         }
         self.step(event);
     }
 
-    fn news(&mut self, choice: u8, kind: u8) {
+    fn change_registry(&mut self, choice: u8, kind: u8) {
         let index = usize::from(choice) % SERVERS;
         let name = self.name(index);
-        let born = self.births[index];
+        let born = self.starts[index];
         match kind % 6 {
             0 => {
                 self.leaving.insert(name.clone());
@@ -330,10 +356,10 @@
                 self.step(news(Change::Gone { name, doubt }));
             }
             2 => {
-                // The box cannot know of the old life's end before it is told.
+                // The box cannot learn that the old server ended before it is notified.
                 let mut old = self.leaving.clone();
                 old.insert(name);
-                self.lives[index] += 1;
+                self.replacements[index] += 1;
                 let name = self.name(index);
                 let until = self.now + Millis(3000);
                 self.cold.insert(name.clone(), (until, Vec::new()));
@@ -347,8 +373,9 @@
                 }
             }
             5 => {
-                // It starts again under its name, cold; then the life before writes late.
-                self.births[index] += 1;
+                // The server restarts under its name, cold; then a late record of its earlier start
+                // arrives.
+                self.starts[index] += 1;
                 self.leaving.remove(&name);
                 self.limited.remove(&name);
                 let until = self.now + Millis(3000);
@@ -367,12 +394,12 @@
         }
     }
 
-    /// A server answers a request that was just sent, and says something of its limit.
+    /// Delivers a server's answer, with a limit, to a request that was just sent.
     fn limit(&mut self, choice: u8, kind: u8) {
         let name = self.name(usize::from(choice) % SERVERS);
-        let word = WORDS[usize::from(kind) % WORDS.len()];
+        let word = LIMIT_HEADERS[usize::from(kind) % LIMIT_HEADERS.len()];
         let (now, sent) = (self.now, self.now);
-        let known = self.leaving.contains(&name);
+        let is_leaving = self.leaving.contains(&name);
         let backend = name.parse().expect("a name");
         self.step(Event::Limited {
             backend,
@@ -384,7 +411,7 @@
             (Some(old), Some(rate)) => rate > old.rate,
             (old, _) => old.is_some(),
         };
-        if known || looser && old.is_some_and(|old| sent <= old.at) {
+        if is_leaving || looser && old.is_some_and(|old| sent <= old.at) {
             return;
         }
         let Some(rate) = word.rate() else {
@@ -396,14 +423,14 @@
             rate,
             at: now,
             since: now,
-            got: 0,
+            received: 0,
         };
         let limited = same.map_or(fresh, |old| Limited { at: now, ..old });
         self.limited.insert(name, limited);
     }
 
-    /// The streams of some servers bring something.
-    fn heard(&mut self, which: u8, pause: u8) {
+    /// Reports activity on the streams of some servers.
+    fn report_activity(&mut self, which: u8, pause: u8) {
         let alive = (0..SERVERS).filter(|index| which & (1 << index) != 0);
         let sign = |index| Sign {
             backend: Short::of(&self.name(index)),
@@ -420,30 +447,33 @@
         }
     }
 
-    fn act(&mut self, what: u8, one: u8, two: u8) {
-        match what {
-            0..=2 => self.arrive(usize::from(one) % PATHS.len()),
-            3 | 4 => self.outcome(one, two),
-            5 => self.news(one, two),
-            6 => self.pass(one),
-            7 => self.heard(one, two),
+    fn act(&mut self, action: u8, choice: u8, kind: u8) {
+        match action {
+            0..=2 => self.arrive(usize::from(choice) % PATHS.len()),
+            3 | 4 => self.outcome(choice, kind),
+            5 => self.change_registry(choice, kind),
+            6 => self.pass(choice),
+            7 => self.report_activity(choice, kind),
             _ => {
-                if let Some((request, ..)) = self.pick(one) {
-                    let seen = self.requests.get_mut(&request).expect("it is known");
-                    seen.over = true;
+                if let Some((request, ..)) = self.pick(choice) {
+                    let tracked = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("the request is tracked");
+                    tracked.finished = true;
                     self.step(Event::Gone(request));
                 }
             }
         }
     }
 
-    /// Nobody is left without an answer.
+    /// Asserts that every request is answered.
     fn settle(&mut self) {
         for _ in 0..60 {
             self.pass(0);
         }
-        for (request, seen) in &self.requests {
-            assert!(seen.over, "{request} was forgotten");
+        for (request, tracked) in &self.requests {
+            assert!(tracked.finished, "{request} was not answered");
         }
         assert_eq!((self.state.busy(), self.state.waiting()), (0, 0));
     }
@@ -455,8 +485,8 @@
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|steps| {
             let mut world = World::new();
-            for (what, one, two) in steps {
-                world.act(what % 9, *one, *two);
+            for (action, choice, kind) in steps {
+                world.act(action % 9, *choice, *kind);
             }
             world.settle();
         });
@@ -468,10 +498,10 @@
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|steps| {
             let mut world = World::new();
-            for (what, one, two) in steps {
-                match what % 10 {
-                    9 => world.limit(*one, *two),
-                    what => world.act(what, *one, *two),
+            for (action, choice, kind) in steps {
+                match action % 10 {
+                    9 => world.limit(*choice, *kind),
+                    action => world.act(action, *choice, *kind),
                 }
             }
             world.settle();
--- a/tests/relay_gaps.rs
+++ b/tests/relay_gaps.rs
@@ -1,4 +1,4 @@
-//! Bytes that vanish between boxes: nothing that came behind them reaches a caller.
+//! When bytes are lost between boxes, nothing after the gap reaches a caller.
 
 mod harness;
 
@@ -10,12 +10,12 @@
 use serde_json::json;
 
 const REGIONS: [&str; 2] = ["perth", "bunbury"];
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 const TOKENS: u64 = 12;
-/// The last chunk of a body.
-const LAST_CHUNK: usize = 5;
+/// Length of the last chunk of a chunked body, in bytes.
+const LAST_CHUNK_BYTES: usize = 5;
 
-/// A box in perth, and one in bunbury behind a link, where the engine is.
+/// Starts a box in perth, and one in bunbury behind a link, where the engine is.
 async fn world(engine: &Standin) -> (World, Link) {
     let mut world = World::start(&["perth"], 1).await;
     let link = Link::start(Duration::ZERO).await.expect("a link");
@@ -39,37 +39,38 @@
     (world, link)
 }
 
-/// What a caller gets.
-struct Got {
+/// The answer that a caller received.
+struct Received {
     whole: bool,
     text: String,
-    /// Bytes that came back between the boxes for it.
+    /// Bytes of the answer carried between the boxes.
     size: usize,
 }
 
-/// Asks, and loses the bytes at these positions of what comes back between the boxes, as far as
-/// they are still to come when the answer begins.
-async fn ask(world: &World, link: &Link, lost: Range<usize>) -> Got {
+/// Sends a request and drops the bytes at these positions of the answer between the boxes, unless
+/// they were already carried when the answer began.
+async fn fetch_losing(world: &World, link: &Link, lost: Range<usize>) -> Received {
     let before = link.carried_back();
     let carried = || (link.carried_back() - before) as usize;
     let body = chat("x", TOKENS);
-    let begun = world.get("perth-1").begin(CHAT, &[], &body).await;
+    let begun = world.get("perth-1").begin(CHAT_PATH, &[], &body).await;
     link.lose(lost.start.saturating_sub(carried()), lost.len());
     let answer = begun.finish().await;
     link.lose(0, 0);
-    Got {
+    Received {
         whole: answer.whole && answer.status == 200,
         text: String::from_utf8_lossy(&answer.body).into_owned(),
         size: carried(),
     }
 }
 
-// A relayed stream went on behind a gap that a short cut between regions had left in it.
+// A short network failure between regions left a gap in a relayed stream, and the stream continued
+// after it.
 #[tokio::test]
 async fn stream_does_not_go_on_behind_a_gap() {
     let engine = Standin::start("engine").await;
     let (world, link) = world(&engine).await;
-    let all = ask(&world, &link, 0..0).await;
+    let all = fetch_losing(&world, &link, 0..0).await;
     assert!(all.whole, "nothing is lost yet");
     let mut cases = Vec::new();
     for start in (0..all.size).step_by(all.size / 12) {
@@ -77,17 +78,21 @@
             cases.push(start..start + lost);
         }
     }
-    // All of the end but the last chunk.
-    let end = all.size - LAST_CHUNK;
+    // The whole end of the body but its last chunk is lost.
+    let end = all.size - LAST_CHUNK_BYTES;
     cases.extend([40, 100, all.size / 2].map(|lost| end - lost..end));
     for lost in cases {
         eventually("the region serves again", || async {
-            ask(&world, &link, 0..0).await.whole
+            fetch_losing(&world, &link, 0..0).await.whole
         })
         .await;
-        let got = ask(&world, &link, lost.clone()).await;
-        assert!(!got.whole, "{lost:?} of {} lost", all.size);
-        assert!(all.text.starts_with(&got.text), "{lost:?}: {:?}", got.text);
+        let received = fetch_losing(&world, &link, lost.clone()).await;
+        assert!(!received.whole, "{lost:?} of {} lost", all.size);
+        assert!(
+            all.text.starts_with(&received.text),
+            "{lost:?}: {:?}",
+            received.text
+        );
     }
 }
 
@@ -103,12 +108,12 @@
         ("petreldrum-caller", "ward"),
     ];
     let body = chat("x", TOKENS).to_string();
-    let plain = call(peer, Method::POST, CHAT, &headers, body.clone()).await;
+    let plain = call(peer, Method::POST, CHAT_PATH, &headers, body.clone()).await;
     let plain = plain.expect("the box answers");
     assert_eq!(streamed(&plain), Some(tokens("x", TOKENS)));
     assert!(plain.header("petreldrum-records").is_empty());
-    let asking = [&headers[..], &[("petreldrum-checked", "true")]].concat();
-    let checked = call(peer, Method::POST, CHAT, &asking, body).await;
+    let checked_headers = [&headers[..], &[("petreldrum-checked", "true")]].concat();
+    let checked = call(peer, Method::POST, CHAT_PATH, &checked_headers, body).await;
     let checked = checked.expect("the box answers");
     assert_eq!(checked.header("petreldrum-records"), "true");
     assert_eq!(checked.header("petreldrum-check").len(), 16);
--- a/tests/request_story.rs
+++ b/tests/request_story.rs
@@ -1,4 +1,5 @@
-//! A request's story is found in the logs of several boxes, whatever else stands in them.
+//! The log lines of a request are collected from the logs of several boxes, whatever else these
+//! contain.
 
 use petreldrum::story::{Line, Story};
 
@@ -8,7 +9,9 @@
     let mut story = Story::default();
     for (name, content) in logs {
         let mut input = content.as_bytes();
-        story.read(name, &mut input, ID).expect("it reads");
+        story
+            .read(name, &mut input, ID)
+            .expect("the log is readable");
     }
     let bad = story.bad();
     (story.into_lines(), bad)
@@ -23,8 +26,8 @@
     let near = line("17.1", "sent attempt=1") + &line("17.25", "ended attempt=1");
     let far = line("17.18", "sent attempt=7") + "2026-01-10T07:19:17.2Z [INFO] box: up.\n";
     let (lines, bad) = read(&[("near", &near), ("far", &far)]);
-    let told: Vec<_> = lines.iter().map(|l| l.log.as_str()).collect();
-    assert_eq!(told, ["near", "far", "near"]);
+    let sources: Vec<_> = lines.iter().map(|l| l.log.as_str()).collect();
+    assert_eq!(sources, ["near", "far", "near"]);
     assert!(lines[1].text.ends_with("sent attempt=7"));
     assert_eq!(bad, 0);
 }
@@ -62,7 +65,9 @@
         let mut log = bytes.to_vec();
         log.extend_from_slice(b"\n");
         log.extend_from_slice(line("17.1", "sent").as_bytes());
-        story.read("a", &mut log.as_slice(), ID).expect("it reads");
+        story
+            .read("a", &mut log.as_slice(), ID)
+            .expect("the log is readable");
         assert!(!story.into_lines().is_empty());
     });
 }
--- a/tests/resumed_streams.rs
+++ b/tests/resumed_streams.rs
@@ -1,4 +1,5 @@
-//! Streams that are cut go on at another place, within one answer, without a gap or a repeat.
+//! A stream that is cut off continues at another place within the same answer, without a gap or a
+//! repeat.
 
 mod harness;
 
@@ -7,7 +8,7 @@
 use petreldrum::gateway::events::Events;
 use petreldrum_standin::worker::EVENTS;
 
-/// The ids of the events of a stream; every event must be whole.
+/// Returns the event ids of a stream and asserts that every event is whole.
 fn ids(body: &[u8]) -> Vec<u32> {
     let text = String::from_utf8_lossy(body);
     let events = text.split_terminator("\n\n");
@@ -35,7 +36,7 @@
 async fn ends_where_nobody_goes_on() {
     let cloud = Cloud::serving(&["i-1"]).await;
     let answer = cloud.boxes[0].send("/stream/x", "one", "break").await;
-    assert!(!answer.whole, "a cut looks like one");
+    assert!(!answer.whole, "a cut stream is reported as cut");
     assert_eq!(ids(&answer.body), [1, 2, 3, 4, 5]);
 }
 
@@ -43,18 +44,18 @@
 async fn goes_on_behind_a_relay() {
     let cloud = Cloud::across(&["i-1", "i-2"]).await;
     let answer = cloud.boxes[0].send("/stream/x", "far", "break").await;
-    // The box there may use one run; this one asks it once more.
+    // The box in the other region may use one run, so this box sends the request there again.
     assert!(answer.whole);
     assert_eq!(ids(&answer.body), (1..=EVENTS).collect::<Vec<_>>());
 }
 
-// A long event of which a part had been passed on was taken for a whole one, and lost its rest.
+// A long event that was partly forwarded was counted as whole, and its remainder was lost.
 #[test]
 fn half_of_a_long_event_is_no_event() {
     let mut events = Events::default();
     events.push(Bytes::from("id: 1\ndata: a\n\n"));
     let part = events.push(Bytes::from(format!("id: 2\ndata: {}", "x".repeat(300_000))));
-    assert!(part.len() > 300_000, "it is not gathered");
+    assert!(part.len() > 300_000, "it is not buffered");
     assert_eq!((events.last(), events.is_split()), (Some("1"), true));
     events.push(Bytes::from("x\n\nid: 3\n"));
     assert_eq!((events.last(), events.is_split()), (Some("2"), false));
@@ -72,17 +73,17 @@
                 })
                 .collect();
             let mut events = Events::default();
-            let (mut rest, mut passed) = (&text[..], Vec::new());
+            let (mut rest, mut forwarded) = (&text[..], Vec::new());
             for cut in cuts {
                 let (now, later) = rest.split_at(usize::from(*cut).min(rest.len()));
-                passed.extend(events.push(Bytes::copy_from_slice(now)));
+                forwarded.extend(events.push(Bytes::copy_from_slice(now)));
                 rest = later;
-                assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
-                let whole = passed.windows(2).filter(|w| w == b"\n\n").count();
+                assert!(forwarded.is_empty() || forwarded.ends_with(b"\n\n"));
+                let whole = forwarded.windows(2).filter(|w| w == b"\n\n").count();
                 let last = events.last().map_or(0, |id| id.parse().expect("a number"));
                 assert_eq!(whole, last, "the last whole event is known");
             }
-            passed.extend(events.push(Bytes::copy_from_slice(rest)));
-            assert_eq!(passed, text);
+            forwarded.extend(events.push(Bytes::copy_from_slice(rest)));
+            assert_eq!(forwarded, text);
         });
 }
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Attempts beyond the first, over all boxes together.
+//! The retry budget: attempts beyond the first, over all boxes together.
 
 mod harness;
 
@@ -20,7 +20,7 @@
 };
 const NOW: Time = Time(5000);
 
-/// What `boxes` boxes spend at once, each as eagerly as it may.
+/// Returns the attempts that `boxes` boxes spend at one moment, each as many as it may.
 fn spent(boxes: usize, requests: usize) -> usize {
     let service = "app".parse().expect("a name");
     let spend = |_| {
@@ -52,20 +52,21 @@
     }
 }
 
-/// A box that cannot know how many others there are takes one attempt of the slack.
+/// A box that does not know the number of other boxes takes one attempt of the slack.
 #[test]
 fn a_lonely_box_is_careful() {
     let service = "app".parse().expect("a name");
     let mut budgets = Budgets::new(LIMITS, false);
     assert!(budgets.spend(&service, NOW));
-    assert!(!budgets.spend(&service, NOW), "it may not be alone");
+    assert!(!budgets.spend(&service, NOW), "there may be other boxes");
     budgets.share(None);
     let later = NOW + Millis(60_000);
     assert!(budgets.spend(&service, later));
-    assert!(!budgets.spend(&service, later), "it may not be alone");
+    assert!(!budgets.spend(&service, later), "there may be other boxes");
 }
 
-/// A life has its share of the slack after its first ten seconds: the one before it may have spent it.
+/// An incarnation gets its share of the slack only after its first ten seconds, because the
+/// previous one may have spent it.
 #[test]
 fn a_young_life_is_careful() {
     let service = "app".parse().expect("a name");
@@ -75,7 +76,7 @@
     assert!(budgets.spend(&service, Time(10_000)));
 }
 
-/// Where the whole system starts for the first time, no life came before.
+/// When the whole system starts for the first time, there is no previous incarnation.
 #[test]
 fn a_first_life_has_its_share_at_once() {
     let service = "app".parse().expect("a name");
@@ -96,8 +97,8 @@
     assert!(budgets.spend(&model, NOW));
 }
 
-/// What a quiet box may still spend in one go: its requests of the last ten seconds count, and not
-/// only as much as may be saved up.
+/// A quiet box may spend at once what its requests of the last ten seconds earned, not just the
+/// maximum that can be saved up.
 #[test]
 fn a_burst_uses_what_was_earned() {
     let service = "app".parse().expect("a name");
@@ -115,8 +116,8 @@
     assert!(budgets.spend(&service, later), "its share of the slack");
 }
 
-/// Where load begins, a box may soon spend a third of what its requests earned: the rest may belong to boxes
-/// whose load ends.
+/// When load starts, a box may soon spend a third of what its requests earned; the rest may belong
+/// to boxes whose load ends.
 #[test]
 fn load_that_begins_is_paid_in_part() {
     let service = "app".parse().expect("a name");
@@ -134,26 +135,26 @@
 #[derive(Debug, TypeGenerator)]
 enum Step {
     Pass(u16),
-    Fresh(u8),
+    Request(u8),
     Spend(u8),
 }
 
-/// In no ten seconds does a box spend more than its share of the slack and what the requests of
-/// those, or of the ten seconds up to any of its attempts, have earned.
+/// In any ten seconds, a box spends at most its share of the slack plus what the requests of those
+/// ten seconds, or of the ten seconds up to any of its attempts, earned.
 #[test]
 fn no_span_is_overspent() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let service = "app".parse().expect("a name");
         let mut budgets = Budgets::new(LIMITS, false);
         budgets.share(Some(9));
-        let (mut now, mut fresh, mut spent) = (Time(0), Vec::new(), Vec::new());
+        let (mut now, mut requests, mut spent) = (Time(0), Vec::new(), Vec::new());
         for step in steps {
             match step {
                 Step::Pass(millis) => now = now + Millis(u64::from(millis % 4000)),
-                Step::Fresh(count) => {
+                Step::Request(count) => {
                     for _ in 0..*count {
                         budgets.earn(&service, now);
-                        fresh.push(now);
+                        requests.push(now);
                     }
                 }
                 Step::Spend(count) => {
@@ -166,10 +167,10 @@
                 let recent = times.iter().filter(|at| now.since(**at) <= Millis(10_000));
                 recent.count() as f64
             };
-            // A span ends at an attempt, so it is enough to look at each.
+            // Each window ends at an attempt, so checking at attempts is enough.
             if spent.last() == Some(&now) {
-                let most = 58.0 / 9.0 + 0.2 * within(&fresh);
-                assert!(within(&spent) <= most, "{} > {most}", within(&spent));
+                let allowed = 58.0 / 9.0 + 0.2 * within(&requests);
+                assert!(within(&spent) <= allowed, "{} > {allowed}", within(&spent));
             }
         }
     });
@@ -183,21 +184,21 @@
     effects.iter().filter_map(repeat).collect()
 }
 
-/// The span over which the fleet's attempts are counted.
+/// The window over which the fleet's attempts are counted.
 const WINDOW: Millis = Millis(10_000);
 /// Time between two steps of [`Fleet::run`].
 const STEP: Millis = Millis(100);
 
-/// Boxes whose requests all want attempts beyond the first, and what came of that over all of them.
+/// Simulated boxes whose requests all want further attempts, with the totals over all boxes.
 struct Fleet {
     boxes: Vec<Budgets>,
-    /// Requests and granted attempts up to the end of each step.
-    fresh: Vec<u32>,
+    /// Cumulative requests and granted attempts at the end of each step.
+    requests: Vec<u32>,
     spent: Vec<u32>,
 }
 
 impl Fleet {
-    /// Boxes that know each other.
+    /// Creates boxes that know the size of the fleet.
     fn new(size: usize) -> Self {
         let mut boxes = vec![Budgets::new(LIMITS, false); size];
         boxes
@@ -205,38 +206,39 @@
             .for_each(|budgets| budgets.share(Some(size)));
         Self {
             boxes,
-            fresh: vec![0],
+            requests: vec![0],
             spent: vec![0],
         }
     }
 
-    /// Lets time pass; `load` says how many requests a second come to a box, and whether it spends all it can.
+    /// Advances time; `load` returns a box's requests per second and whether it spends all it can.
     fn run(&mut self, span: Millis, load: impl Fn(usize, Millis) -> (f64, bool)) {
         let service = "app".parse().expect("a name");
-        let mut owed = vec![0.0; self.boxes.len()];
+        let mut pending = vec![0.0; self.boxes.len()];
         for step in 0..span.0 / STEP.0 {
-            let now = Time(self.fresh.len() as u64 * STEP.0);
-            let (mut fresh, mut spent) = (0, 0);
+            let now = Time(self.requests.len() as u64 * STEP.0);
+            let (mut requests, mut spent) = (0, 0);
             for (number, budgets) in self.boxes.iter_mut().enumerate() {
                 let (rate, eager) = load(number, Millis(step * STEP.0));
-                owed[number] += rate * STEP.0 as f64 / 1000.0;
-                while owed[number] >= 1.0 {
-                    owed[number] -= 1.0;
+                pending[number] += rate * STEP.0 as f64 / 1000.0;
+                while pending[number] >= 1.0 {
+                    pending[number] -= 1.0;
                     budgets.earn(&service, now);
-                    fresh += 1;
+                    requests += 1;
                 }
                 while eager && budgets.spend(&service, now) {
                     spent += 1;
                 }
             }
-            self.fresh.push(self.fresh.last().unwrap_or(&0) + fresh);
+            self.requests
+                .push(self.requests.last().unwrap_or(&0) + requests);
             self.spent.push(self.spent.last().unwrap_or(&0) + spent);
         }
     }
 
-    /// In every window the attempts stay within the slack and what the requests earned of that window, the one
-    /// before it, or the one half a window before it.
-    fn assert_kept(&self, what: &str) {
+    /// Asserts that in every window the attempts stay within the slack plus what the requests
+    /// earned in that window, the one before it, or the one half a window before it.
+    fn assert_within_bound(&self, context: &str) {
         let window = (WINDOW.0 / STEP.0) as usize;
         let within = |sums: &[u32], from: usize, to: usize| {
             let last = sums.len() - 1;
@@ -244,16 +246,20 @@
         };
         for start in window..self.spent.len() {
             let before = [0, window / 2, window];
-            let fresh = before.map(|span| within(&self.fresh, start - span, start + window - span));
-            let most = 58.0 + 0.2 * fresh.into_iter().fold(0.0, f64::max);
+            let requests =
+                before.map(|span| within(&self.requests, start - span, start + window - span));
+            let allowed = 58.0 + 0.2 * requests.into_iter().fold(0.0, f64::max);
             let spent = within(&self.spent, start, start + window);
-            assert!(spent <= most, "{what}: {spent} > {most} from step {start}");
+            assert!(
+                spent <= allowed,
+                "{context}: {spent} > {allowed} from step {start}"
+            );
         }
     }
 }
 
-/// Regions peak in turn: boxes whose peak ends spend what they earned before, and those whose peak begins spend what
-/// they earn in it, within one window of the fleet.
+/// Regions peak in turn: within one window of the fleet, boxes whose peak ends spend what they
+/// earned before, and boxes whose peak starts spend what they earn in it.
 #[test]
 fn peaks_that_move_between_boxes_keep_the_bound() {
     for boxes in [2, 6, 9, 30] {
@@ -270,57 +276,57 @@
                     if late { then } else { first },
                 )
             });
-            fleet.assert_kept(&format!("{boxes} boxes, {shift} s later"));
+            fleet.assert_within_bound(&format!("{boxes} boxes, {shift} s later"));
         }
     }
 }
 
 #[derive(Debug, TypeGenerator)]
-struct Turn {
-    /// Requests a second at each box, by fours.
+struct Phase {
+    /// Requests per second at each box, in units of four.
     rates: [u8; 4],
-    /// Which boxes spend all they can, a bit each.
+    /// Bit mask of the boxes that spend all they can.
     eager: u8,
-    /// How long it lasts, in half seconds.
-    halves: u8,
+    /// Duration: half a second plus this many half seconds, modulo 16.
+    half_seconds: u8,
 }
 
-/// Whatever the load and whenever boxes spend, no window of the fleet is overspent.
+/// For any load and any times of spending, no window of the fleet is overspent.
 #[test]
 fn no_window_of_the_fleet_is_overspent() {
-    let check = check!().with_iterations(200).with_type::<Vec<Turn>>();
-    check.for_each(|turns| {
+    let check = check!().with_iterations(200).with_type::<Vec<Phase>>();
+    check.for_each(|phases| {
         let mut fleet = Fleet::new(4);
-        for turn in turns.iter().take(8) {
+        for phase in phases.iter().take(8) {
             fleet.run(
-                Millis(500 + 500 * u64::from(turn.halves % 16)),
+                Millis(500 + 500 * u64::from(phase.half_seconds % 16)),
                 |number, _| {
-                    let rate = 4.0 * f64::from(turn.rates[number] % 16);
-                    (rate, turn.eager & (1 << number) != 0)
+                    let rate = 4.0 * f64::from(phase.rates[number] % 16);
+                    (rate, phase.eager & (1 << number) != 0)
                 },
             );
         }
-        fleet.assert_kept("random loads");
+        fleet.assert_within_bound("random loads");
     });
 }
 
-/// Whether an attempt beyond the first was granted, and by which figures, is told and counted.
+/// The grant or refusal of each further attempt is reported and counted, with its figures.
 #[test]
 fn grants_and_refusals_are_told() {
     let servers = ["one", "two"].map(|name| server(name, "perth", 64));
     let text = BASE.to_owned() + &caller("a", "rate=1000/s") + &servers.concat();
     let mut solo = Solo::new(&(text + "[selector all]\n"));
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for _ in 0..60 {
         solo.pass(100);
         let send = sends(&solo.arrive("a", None)).remove(0);
-        told.extend(repeats(&solo.failed(&send, Verdict::NotRun, Cause::Full)));
+        reported.extend(repeats(&solo.failed(&send, Verdict::NotRun, Cause::Full)));
     }
-    let of = |outcome| told.iter().filter(|r| r.outcome == outcome).count();
+    let of = |outcome| reported.iter().filter(|r| r.outcome == outcome).count();
     let (granted, refused) = (of(Outcome::Granted), of(Outcome::Refused));
     assert_eq!(granted + refused, 60);
     assert!(granted >= 20 && refused > 0, "{granted} and {refused}");
-    let last = told.last().expect("one was told");
+    let last = reported.last().expect("one was reported");
     assert_eq!(last.balance.spent as usize, granted);
     assert!(f64::from(last.balance.spent) <= last.balance.share + last.balance.earned);
     let rows = solo.state.repeats(solo.now);
