--- a/standin/src/app.rs
+++ b/standin/src/app.rs
@@ -1,4 +1,4 @@
-//! An application service that counts what it ran, by the `id` in the body.
+//! Stand-in for an application service that counts executions by the `id` in the request body.
 
 use std::{
     collections::BTreeMap,
@@ -13,22 +13,22 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, whole};
 
-/// The header by which the service says that it did not run a request.
+/// Response header that marks a request as refused without being run.
 pub const REFUSED: &str = "x-app-refused";
 
-/// How the service behaves.
+/// Configurable behaviour of the service.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Behaviour {
-    /// Milliseconds that a run takes; it counts at its beginning.
+    /// Duration of an execution in milliseconds; it is counted when it starts.
     pub run_ms: u64,
-    /// Whether it refuses all work.
+    /// Whether all requests are refused.
     pub refuse: bool,
-    /// Whether it runs a request and then closes the connection without an answer.
+    /// Whether the connection is closed without an answer after a request has run.
     pub lose_reply: bool,
 }
 
-/// The service; clones share one state.
+/// The application service; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct App {
     behaviour: Arc<Mutex<Behaviour>>,
--- a/standin/src/collector.rs
+++ b/standin/src/collector.rs
@@ -1,4 +1,4 @@
-//! A trace collector (OTLP over HTTP) that counts the messages and bytes it was sent.
+//! Stand-in for a trace collector (OTLP over HTTP) that counts messages and named spans.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,7 +7,7 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, whole};
 
-/// The collector; clones share one state.
+/// The trace collector; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Collector {
     bodies: Arc<Mutex<Vec<Vec<u8>>>>,
@@ -24,10 +24,10 @@
             "/_counts" => {
                 let count = |name: &str| {
                     let needle = name.as_bytes();
-                    let inside = |body: &Vec<u8>| {
+                    let occurrences = |body: &Vec<u8>| {
                         body.windows(needle.len()).filter(|w| *w == needle).count()
                     };
-                    bodies.iter().map(inside).sum::<usize>()
+                    bodies.iter().map(occurrences).sum::<usize>()
                 };
                 json_answer(&json!({
                     "messages": bodies.len(),
--- a/standin/src/crowd.rs
+++ b/standin/src/crowd.rs
@@ -1,4 +1,6 @@
-//! The reducers of the boxes of one region or several, whose messages arrive within a tick.
+//! Simulation of the reducers of several boxes in virtual time, in one region or several.
+//!
+//! Messages arrive within a tick.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,31 +27,31 @@
 /// Time between two ticks, in milliseconds.
 pub const TICK: u64 = 100;
 
-/// A listener on loopback.
+/// Returns a loopback address.
 pub fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A box with three listeners from `port` on.
+/// Returns the contact of a box whose three listeners use consecutive ports from `port`.
 pub fn contact(name: &str, region: &str, port: u16) -> Contact {
     Contact {
-        name: name.parse().expect("a name"),
-        region: region.parse().expect("a name"),
-        domain: "a".parse().expect("a name"),
+        name: name.parse().expect("valid name"),
+        region: region.parse().expect("valid name"),
+        domain: "a".parse().expect("valid name"),
         public: address(port),
         peer: address(port + 1),
         gossip: address(port + 2),
     }
 }
 
-/// A backend server of a region that serves `s`.
+/// Returns a backend server of a region that serves the service `s`.
 pub(crate) fn backend(name: &str, region: &str) -> Backend {
     Backend {
-        name: name.parse().expect("a name"),
+        name: name.parse().expect("valid name"),
         address: address(1),
-        region: region.parse().expect("a name"),
-        domain: "a".parse().expect("a name"),
-        serves: vec!["s".parse().expect("a name")],
+        region: region.parse().expect("valid name"),
+        domain: "a".parse().expect("valid name"),
+        serves: vec!["s".parse().expect("valid name")],
         labels: Default::default(),
         slots: 12,
         price: 0.0,
@@ -62,7 +64,7 @@
     }
 }
 
-/// The name of a box.
+/// Returns the name of the box with this number.
 pub fn name(number: usize) -> String {
     format!("box-{number}")
 }
@@ -78,86 +80,89 @@
     }
 }
 
-/// Bytes of TCP, IP and nng around a message.
+/// Bytes that TCP, IP and nng add to a message.
 pub const OVERHEAD: usize = 60;
 
-/// The bytes of a message on its way.
-fn weight(frame: &Frame) -> usize {
-    let secret = Secret::from_str("a-secret-of-sixteen").expect("it is long enough");
+/// Returns the size of a message on the network, in bytes.
+fn frame_bytes(frame: &Frame) -> usize {
+    let secret = Secret::from_str("a-secret-of-sixteen").expect("secret is long enough");
     frame.encode(&secret).len() + OVERHEAD
 }
 
-/// Boxes of one region, or of several.
+/// Simulated boxes of one region or several.
 #[derive(Debug)]
 pub struct Crowd {
-    /// The time outside.
+    /// The virtual time.
     pub now: Time,
-    /// The boxes; none in place of one that was killed.
+    /// The boxes by number; `None` for a box that was killed.
     pub boxes: Vec<Option<State<Balanced>>>,
-    /// Messages on their way.
+    /// Messages in flight, with their destinations.
     pub mail: Vec<(SocketAddr, Frame)>,
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub sent: usize,
-    /// The bytes that each box sent, by kind of message, where somebody asks for them.
+    /// Bytes sent by each box, by kind of message; recorded only if set.
     pub weighed: Option<Vec<BTreeMap<&'static str, usize>>>,
-    /// Pairs whose messages are lost.
+    /// Pairs (sender, receiver) whose messages are lost.
     pub cut: Vec<(usize, usize)>,
-    /// Boxes that stand still.
+    /// Boxes whose process is suspended: they receive no ticks, and their messages wait.
     pub frozen: Vec<usize>,
-    numbers: HashMap<SocketAddr, usize>,
-    /// What a box that starts is offered.
+    numbers_by_gossip: HashMap<SocketAddr, usize>,
+    /// The configuration offered to a box when it starts.
     pub config: Arc<Config>,
-    /// What a box that starts is told of the retry budget.
+    /// The limits of the retry budget given to a box when it starts.
     pub retry: Limits,
     registry: bool,
-    /// Failure domains, one or two; the boxes take turns.
+    /// Number of failure domains, one or two; boxes are assigned round-robin.
     domains: usize,
-    /// Regions, one to three; the boxes take turns.
+    /// Number of regions, one to three; boxes are assigned round-robin.
     regions: usize,
-    /// When each box started: its clock begins there.
+    /// Start time of each box; its own clock counts from there.
     started: Vec<Time>,
 }
 
 impl Crowd {
-    /// Boxes with an empty configuration, which just started.
+    /// Starts boxes with an empty configuration.
     pub fn new(size: usize) -> Self {
         Self::start(size, Arc::new(Draft::default().finish()), false, 1, 1)
     }
 
-    /// Boxes on a platform where backend servers register themselves, which just started.
+    /// Starts boxes on a platform where backend servers register themselves.
     pub fn on_platform(size: usize, config: Arc<Config>) -> Self {
         Self::start(size, config, true, 1, 1)
     }
 
-    /// The same in two failure domains.
+    /// Starts boxes as [`Crowd::on_platform`] does, in two failure domains.
     pub fn in_two_domains(size: usize, config: Arc<Config>) -> Self {
         Self::start(size, config, true, 2, 1)
     }
 
-    /// Boxes of one region with two failure domains, where the configuration names the servers.
+    /// Starts boxes of one region with two failure domains; the configuration lists the backend
+    /// servers.
     pub fn in_one_region(size: usize, config: Arc<Config>) -> Self {
         Self::start(size, config, false, 2, 1)
     }
 
-    /// Boxes of three regions with two failure domains each, where the configuration names the servers.
+    /// Starts boxes of three regions with two failure domains each; the configuration lists the
+    /// backend servers.
     pub fn in_three_regions(size: usize, config: Arc<Config>) -> Self {
         Self::start(size, config, false, 2, 3)
     }
 
-    /// The same on a platform where backend servers register themselves.
+    /// Starts boxes as [`Crowd::in_three_regions`] does, on a platform where backend servers
+    /// register themselves.
     pub fn across_regions(size: usize, config: Arc<Config>) -> Self {
         Self::start(size, config, true, 2, 3)
     }
 
-    /// The box whose HTTP listener for other boxes this is.
+    /// Returns the number of the box with this HTTP listener for peers.
     pub fn by_peer(&self, peer: SocketAddr) -> Option<usize> {
         let gossip = SocketAddr::new(peer.ip(), peer.port() + 1);
         self.by_gossip(gossip)
     }
 
-    /// The box whose listener for messages this is.
+    /// Returns the number of the box with this gossip listener.
     pub fn by_gossip(&self, gossip: SocketAddr) -> Option<usize> {
-        self.numbers.get(&gossip).copied()
+        self.numbers_by_gossip.get(&gossip).copied()
     }
 
     fn start(
@@ -167,7 +172,7 @@
         domains: usize,
         regions: usize,
     ) -> Self {
-        let numbers = (0..size).map(|number| (address(port(number) + 2), number));
+        let numbers_by_gossip = (0..size).map(|number| (address(port(number) + 2), number));
         let mut crowd = Self {
             now: Time(0),
             boxes: (0..size).map(|_| None).collect(),
@@ -176,7 +181,7 @@
             weighed: None,
             cut: Vec::new(),
             frozen: Vec::new(),
-            numbers: numbers.collect(),
+            numbers_by_gossip: numbers_by_gossip.collect(),
             config,
             retry: Limits::default(),
             registry,
@@ -190,18 +195,18 @@
         crowd
     }
 
-    /// The region of a box.
+    /// Returns the region of a box.
     pub fn region(&self, number: usize) -> &'static str {
         ["perth", "bunbury", "geraldton"][number % self.regions]
     }
 
-    /// Starts a box anew.
+    /// Starts or restarts a box with empty state and offers it the configuration.
     pub fn launch(&mut self, number: usize) {
         let region = self.region(number);
         let domain = ["a", "b"][number / self.regions % self.domains];
         let identity = Identity {
             contact: Contact {
-                domain: domain.parse().expect("a name"),
+                domain: domain.parse().expect("valid name"),
                 ..contact(&name(number), region, port(number))
             },
             incarnation: Incarnation(7 + self.now.0),
@@ -221,12 +226,12 @@
         self.step(number, offer);
     }
 
-    /// The time of a box's own clock.
+    /// Returns the time on a box's own clock.
     pub fn clock(&self, number: usize) -> Time {
         Time(self.now.since(self.started[number]).0)
     }
 
-    /// Tells a box of an event; its messages go out.
+    /// Applies an event to a box, queues the messages that it sends and returns its effects.
     pub fn step(&mut self, number: usize, event: Event) -> Vec<Effect> {
         let clock = self.clock(number);
         let Some(state) = &mut self.boxes[number] else {
@@ -237,10 +242,10 @@
             if let Effect::Gossip { to, frame } = effect {
                 self.sent += 1;
                 if let Some(weighed) = &mut self.weighed {
-                    *weighed[number].entry(frame.body.kind()).or_default() += weight(frame);
+                    *weighed[number].entry(frame.body.kind()).or_default() += frame_bytes(frame);
                 }
                 let lost = |n: &usize| self.cut.contains(&(number, *n));
-                if !self.numbers.get(to).is_some_and(lost) {
+                if !self.numbers_by_gossip.get(to).is_some_and(lost) {
                     self.mail.push((*to, frame.clone()));
                 }
             }
@@ -248,7 +253,7 @@
         effects
     }
 
-    /// Lets time pass, tick by tick.
+    /// Advances time tick by tick and discards the effects.
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / TICK {
             self.now = self.now + Millis(TICK);
@@ -256,34 +261,34 @@
         }
     }
 
-    /// Tells all boxes of a tick, and delivers their messages; what each wants done.
+    /// Delivers a tick to all boxes and then the messages in flight; returns the effects by box.
     pub fn tick(&mut self) -> Vec<(usize, Effect)> {
-        let mut found = Vec::new();
+        let mut all_effects = Vec::new();
         for number in 0..self.boxes.len() {
             if !self.frozen.contains(&number) {
                 let effects = self.step(number, Event::Tick);
-                found.extend(effects.into_iter().map(|effect| (number, effect)));
+                all_effects.extend(effects.into_iter().map(|effect| (number, effect)));
             }
         }
         for (to, frame) in std::mem::take(&mut self.mail) {
-            let number = self.numbers.get(&to).copied();
+            let number = self.numbers_by_gossip.get(&to).copied();
             match number {
                 Some(number) if self.frozen.contains(&number) => self.mail.push((to, frame)),
                 Some(number) => {
                     let effects = self.step(number, Event::Heard(frame));
-                    found.extend(effects.into_iter().map(|effect| (number, effect)));
+                    all_effects.extend(effects.into_iter().map(|effect| (number, effect)));
                 }
                 None => {}
             }
         }
-        found
+        all_effects
     }
 
-    /// The boxes that `number` names to callers of its region.
+    /// Returns the names of the boxes that box `number` resolves for callers of the region `perth`.
     pub fn named(&mut self, number: usize) -> Vec<String> {
         let event = Event::Resolve {
             request: id::Request(self.now.0 + 1),
-            region: "perth".parse().expect("a name"),
+            region: "perth".parse().expect("valid name"),
             host: None,
         };
         let effects = self.step(number, event);
@@ -291,7 +296,9 @@
             Effect::Boxes { boxes, .. } => Some(boxes),
             _ => None,
         });
-        let boxes = boxes.expect("an answer").iter();
+        let boxes = boxes
+            .expect("resolve is answered with a list of boxes")
+            .iter();
         boxes.map(|entry| entry.contact.name.to_string()).collect()
     }
 }
--- a/standin/src/demo.rs
+++ b/standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: 3 regions of 3 boxes, backend servers and the store in one process, on loopback.
+//! Demo: three regions of three boxes, backend servers and the store in one process on loopback.
 
 use std::fmt::Write as _;
 
@@ -12,10 +12,10 @@
 };
 
 const REGIONS: [&str; 3] = ["perth", "bunbury", "geraldton"];
-const BOXES: usize = 3;
-const SLOTS: usize = 8;
+const BOXES_PER_REGION: usize = 3;
+const SLOTS_PER_ENGINE: usize = 8;
 
-/// The configuration: a model, and a booking route that is still on the old scripts.
+/// Returns a configuration with a model route and a booking route that still uses the old scripts.
 async fn configuration() -> eyre::Result<String> {
     let mut text = sections(&REGIONS);
     text.push_str(
@@ -31,7 +31,7 @@
          serves = booking\nlabels = via=scripts"
     )?;
     for region in REGIONS {
-        let engine = start(Engine::new(SLOTS, Behaviour::default())).await?;
+        let engine = start(Engine::new(SLOTS_PER_ENGINE, Behaviour::default())).await?;
         let app = start(App::default()).await?;
         writeln!(
             text,
@@ -49,11 +49,11 @@
     Ok(text)
 }
 
-/// Starts everything, prints how to use it and runs until it is interrupted.
+/// Starts the demo system, prints usage examples and runs until interrupted.
 pub async fn run() -> eyre::Result<()> {
     let plan = Plan {
         regions: &REGIONS,
-        boxes: BOXES,
+        boxes: BOXES_PER_REGION,
         policy: Named::Balanced,
         delay: None,
     };
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: OpenAI-style requests, tokens over SSE, slots, a prefix cache, refusals.
+//! Stand-in for a model engine: OpenAI-style requests, SSE token streams, slots, a prefix cache and
+//! refusals.
 
 use std::{
     collections::VecDeque,
@@ -20,33 +21,33 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, stream, whole};
 
-/// The header by which the engine says that it did not run a request.
+/// Response header that marks a request as refused without being run.
 pub const REFUSED: &str = "x-engine-refused";
-/// The header by which it says how many requests a second it takes.
+/// Response header with the number of requests per second that the engine accepts.
 pub const LIMIT: &str = "x-engine-limit";
-/// Prefixes that fit into the cache.
-const CACHE: usize = 32;
+/// Capacity of the prefix cache.
+const MAX_CACHED_PREFIXES: usize = 32;
 const DEFAULT_TOKENS: u64 = 8;
 
-/// How the engine behaves.
+/// Configurable behaviour of the engine.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Behaviour {
-    /// Milliseconds to the first token with a warm prefix.
+    /// Milliseconds to the first token if the prompt's prefix is cached.
     pub first_ms: u64,
-    /// Milliseconds more with a cold prefix.
+    /// Additional milliseconds to the first token if the prefix is not cached.
     pub cold_ms: u64,
     /// Milliseconds between tokens.
     pub token_ms: u64,
-    /// Whether it refuses all work.
+    /// Whether all requests are refused.
     pub refuse: bool,
-    /// The seconds after which its refusals want the next request.
+    /// The `Retry-After` value of refusals, in seconds.
     pub retry_after: Option<f64>,
-    /// Whether it cuts each stream after two tokens.
+    /// Whether each stream is broken off after two tokens.
     pub cut: bool,
-    /// Whether it closes the connection before any answer.
+    /// Whether the connection is closed without an answer.
     pub reset: bool,
-    /// The requests a second that its answers say it takes from all boxes.
+    /// The limit reported in answers: requests per second accepted from all boxes together.
     pub limit: Option<f64>,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// What the engine has counted.
+/// Request counters of the engine.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Counts {
     started: u64,
@@ -75,7 +76,7 @@
     cold: u64,
 }
 
-/// The engine; clones share one state.
+/// The model engine; clones share their state.
 #[derive(Clone, Debug)]
 pub struct Engine {
     behaviour: Arc<Mutex<Behaviour>>,
@@ -85,7 +86,7 @@
 }
 
 impl Engine {
-    /// An engine that runs `slots` requests at once; more wait inside it.
+    /// Creates an engine that runs `slots` requests concurrently and queues further ones.
     pub fn new(slots: usize, behaviour: Behaviour) -> Self {
         Self {
             behaviour: Arc::new(Mutex::new(behaviour)),
@@ -103,15 +104,15 @@
         *self.behaviour.lock().expect("the lock is never poisoned")
     }
 
-    /// Whether the prompt's prefix was in the cache; it is afterwards.
+    /// Reports whether the prompt's prefix was cached, and caches it.
     fn warm(&self, prompt: &str) -> bool {
-        let beginning = &prompt.as_bytes()[..prompt.len().min(64)];
-        let hash = xxhash_rust::xxh3::xxh3_64(beginning);
+        let prefix = &prompt.as_bytes()[..prompt.len().min(64)];
+        let hash = xxhash_rust::xxh3::xxh3_64(prefix);
         let mut cache = self.prefixes.lock().expect("the lock is never poisoned");
         let warm = cache.contains(&hash);
         cache.retain(|h| *h != hash);
         cache.push_back(hash);
-        if cache.len() > CACHE {
+        if cache.len() > MAX_CACHED_PREFIXES {
             cache.pop_front();
         }
         warm
@@ -155,17 +156,17 @@
         let behaviour = self.behaviour();
         self.count(|c| c.started += 1);
         let warm = self.warm(&prompt);
-        let mut wait = behaviour.first_ms;
+        let mut delay_ms = behaviour.first_ms;
         if !warm {
-            wait += behaviour.cold_ms;
+            delay_ms += behaviour.cold_ms;
             self.count(|c| c.cold += 1);
         }
         for index in 0..tokens {
             tokio::select! {
-                () = sleep(Duration::from_millis(wait)) => {}
+                () = sleep(Duration::from_millis(delay_ms)) => {}
                 () = sender.closed() => return self.count(|c| c.cancelled += 1),
             }
-            wait = behaviour.token_ms;
+            delay_ms = behaviour.token_ms;
             if behaviour.cut && index == 2 {
                 let _ = sender.send(Err(std::io::Error::other("cut"))).await;
                 return;
@@ -206,7 +207,7 @@
                 answer.headers_mut().insert(REFUSED, yes);
                 if let Some(seconds) = behaviour.retry_after {
                     let seconds = HeaderValue::from_str(&seconds.to_string());
-                    let seconds = seconds.expect("a number");
+                    let seconds = seconds.expect("a number is a valid header value");
                     answer.headers_mut().insert(RETRY_AFTER, seconds);
                 }
                 Some(answer)
--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a small HTTP server, and a client for tests.
+//! HTTP server shared by the stand-ins, and an HTTP client for tests.
 
 use std::{convert::Infallible, net::SocketAddr};
 
@@ -20,19 +20,19 @@
     task::JoinHandle,
 };
 
-/// A body of a stand-in's answer; an error in it cuts the connection.
+/// Response body of a stand-in; an error in the stream closes the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// A request with its body at hand.
+/// A request whose body has been read completely.
 pub type Whole = Request<Bytes>;
 
-/// What a stand-in does with a request; none closes the connection without an answer.
+/// Request handler of a stand-in.
 pub trait Service: Clone + Send + 'static {
-    /// Answers one request.
+    /// Answers one request; `None` closes the connection without an answer.
     fn answer(&self, request: Whole) -> impl Future<Output = Option<Response<Body>>> + Send;
 }
 
-/// An answer that is all at hand.
+/// Returns a response with a complete body.
 pub fn whole(status: StatusCode, content: impl Into<Bytes>) -> Response<Body> {
     let full = Full::new(content.into()).map_err(|never: Infallible| match never {});
     let mut response = Response::new(BoxBody::new(full));
@@ -40,7 +40,7 @@
     response
 }
 
-/// A JSON answer.
+/// Returns a JSON response with status 200.
 pub fn json(content: &Value) -> Response<Body> {
     let mut response = whole(StatusCode::OK, content.to_string());
     let value = hyper::header::HeaderValue::from_static("application/json");
@@ -48,15 +48,15 @@
     response
 }
 
-/// An answer whose pieces come through a channel.
-pub fn stream(pieces: mpsc::Receiver<std::io::Result<Bytes>>) -> Response<Body> {
-    let frames = Pieces(pieces);
+/// Returns a response whose body is streamed from a channel.
+pub fn stream(chunks: mpsc::Receiver<std::io::Result<Bytes>>) -> Response<Body> {
+    let frames = ChunkStream(chunks);
     Response::new(BoxBody::new(StreamBody::new(frames)))
 }
 
-struct Pieces(mpsc::Receiver<std::io::Result<Bytes>>);
+struct ChunkStream(mpsc::Receiver<std::io::Result<Bytes>>);
 
-impl futures_core::Stream for Pieces {
+impl futures_core::Stream for ChunkStream {
     type Item = std::io::Result<Frame<Bytes>>;
     fn poll_next(
         mut self: std::pin::Pin<&mut Self>,
@@ -64,11 +64,11 @@
     ) -> std::task::Poll<Option<Self::Item>> {
         self.0
             .poll_recv(cx)
-            .map(|piece| piece.map(|p| p.map(Frame::data)))
+            .map(|chunk| chunk.map(|p| p.map(Frame::data)))
     }
 }
 
-/// Listens on `address` and serves until the task is dropped with the process.
+/// Listens on `address` and serves in a background task for the life of the process.
 pub async fn serve(
     address: SocketAddr,
     service: impl Service + Sync,
@@ -86,7 +86,7 @@
     Ok((bound, task))
 }
 
-/// Serves on a loopback port that the kernel chooses.
+/// Serves on a loopback port that the operating system assigns.
 pub async fn start(service: impl Service + Sync) -> eyre::Result<SocketAddr> {
     let (address, _) = serve(SocketAddr::from(([127, 0, 0, 1], 0)), service).await?;
     Ok(address)
@@ -103,7 +103,7 @@
                 .map_err(std::io::Error::other)?
                 .to_bytes();
             let answer = service.answer(Request::from_parts(parts, body)).await;
-            // An error closes the connection without an answer.
+            // hyper closes the connection without an answer when the handler fails.
             answer.ok_or_else(|| std::io::Error::other("no answer"))
         }
     });
@@ -112,26 +112,26 @@
         .await;
 }
 
-/// An answer as a test sees it.
+/// A response as a test receives it.
 #[derive(Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The head.
+    /// The response headers.
     pub headers: hyper::HeaderMap,
-    /// The body, as far as it came.
+    /// The part of the body that was received.
     pub body: Bytes,
-    /// Whether the HTTP library found the body complete.
+    /// Whether the body was received completely according to the HTTP framing.
     pub whole: bool,
 }
 
 impl Answer {
-    /// The body as JSON; null where it is not.
+    /// Returns the body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// A header as text; empty where it is absent.
+    /// Returns a header as text, or an empty string if it is absent or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -140,24 +140,24 @@
     }
 }
 
-/// An answer that begins.
+/// A response whose headers have arrived and whose body is still to be read.
 pub struct Begun {
     response: Response<Incoming>,
 }
 
 impl Begun {
-    /// The head.
+    /// Returns the response headers.
     pub fn head(&self) -> &hyper::HeaderMap {
         self.response.headers()
     }
 
-    /// Waits for the next bytes; none at the end or at a cut.
+    /// Waits for the next bytes; returns `None` at the end or when the connection breaks.
     pub async fn next(&mut self) -> Option<Bytes> {
         let frame = self.response.body_mut().frame().await?;
         frame.ok()?.into_data().ok()
     }
 
-    /// Reads to the end or the cut.
+    /// Reads the body until it ends or the connection breaks.
     pub async fn finish(self) -> Answer {
         let (parts, mut body) = self.response.into_parts();
         let mut all = Vec::new();
@@ -180,7 +180,7 @@
     }
 }
 
-/// Sends a request over a connection of its own and returns when the answer begins.
+/// Sends a request over a new connection and returns once the response headers arrive.
 pub async fn begin(
     address: SocketAddr,
     method: Method,
@@ -204,7 +204,7 @@
     Ok(Begun { response })
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,26 +1,27 @@
-//! Stand-ins for the systems that petreldrum meets; they never ship with it.
+//! Stand-ins for the external systems that petreldrum talks to, for tests, measurements and the
+//! demo. They are not part of a release.
 //!
-//! Each is met only over the network, by the protocol of the real system. Paths that begin with
-//! `/_` are the test's own: they set faults and read counts.
+//! Each stand-in is reached only over the network, through the protocol of the real system. Paths
+//! that begin with `/_` exist for tests only: they inject faults and read counters.
 //!
 //! | module | stands in for |
 //! |---|---|
 //! | [`store`] | the key-value service (etcd v3 JSON over HTTP) |
 //! | [`platform`] | the list of live and leaving boxes, and the client directory |
 //! | [`registry`] | the users' platform's store |
-//! | [`worker`] | a backend server of the users' platform that gets things wrong |
-//! | [`script`] | a backend server whose answers end with their connection |
-//! | [`runs`] | what such a server knows of its streams that may move to another |
+//! | [`worker`] | a backend server of the users' platform that returns faulty answers on request |
+//! | [`script`] | a backend server with scripted answers, ended by closing the connection |
+//! | [`runs`] | the streams of such a server, and their migration to another server |
 //! | [`engine`] | a model engine (OpenAI-style, SSE) |
-//! | [`memory`] | what a model engine tells of the prompts that it keeps |
-//! | [`app`] | an application service that counts what it ran |
-//! | [`collector`] | a trace collector that counts the spans it was sent |
-//! | [`link`] | a link between regions: slow, or cut |
-//! | [`soak`] | the platform, its callers and its troubles, around boxes as real processes |
+//! | [`memory`] | the prompt-cache list and events of a model engine |
+//! | [`app`] | an application service that counts its executions |
+//! | [`collector`] | a trace collector that counts messages and spans |
+//! | [`link`] | a network link between regions that can be delayed, cut or made to lose bytes |
+//! | [`soak`] | the platform, callers and faults around boxes run as real processes |
 //! | [`system`], [`demo`] | a whole system in one process |
-//! | [`crowd`] | the other boxes: reducers of several, in virtual time |
-//! | [`releases`] | backend servers of two releases before such boxes, and the operator who rolls one out |
-//! | [`measure`] | the figures that the documentation gives |
+//! | [`crowd`] | the reducers of several boxes, simulated in virtual time |
+//! | [`releases`] | a roll-out simulation: servers of two releases, and the operator |
+//! | [`measure`] | the measurements quoted in the documentation |
 
 pub mod app;
 pub mod collector;
--- a/standin/src/link.rs
+++ b/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between regions: a TCP relay that is slow, and may be cut.
+//! Simulated network link between regions: a TCP relay with a delay, cuts and byte loss.
 
 use std::{
     net::SocketAddr,
@@ -21,56 +21,57 @@
     time::{Instant, sleep, sleep_until},
 };
 
-const CHUNK: usize = 16 << 10;
-/// Chunks under way in one direction.
-const FLIGHT: usize = 256;
+const CHUNK_BYTES: usize = 16 << 10;
+/// Most chunks in flight in one direction.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// How long a connection that has lost bytes goes on.
-const LOSS_LINGER: Duration = Duration::from_millis(150);
+/// Time after which a connection that has lost bytes is closed.
+const CLOSE_AFTER_LOSS: Duration = Duration::from_millis(150);
 
-/// Bytes on their way back that vanish, though later ones arrive.
+/// A gap in the return direction: some bytes are dropped, and later ones are delivered.
 #[derive(Clone, Copy, Debug, Default)]
 struct Loss {
-    /// Bytes that still pass before.
+    /// Bytes still to be delivered before the gap.
     skip: usize,
-    /// Bytes that vanish then.
+    /// Bytes still to be dropped.
     size: usize,
 }
 
 impl Loss {
-    /// Takes out of `bytes` what vanishes.
+    /// Returns `bytes` without the dropped part, or `None` if nothing is dropped from them.
     fn apply(&mut self, bytes: &Bytes) -> Option<Bytes> {
         let from = self.skip.min(bytes.len());
         let to = (from + self.size).min(bytes.len());
         self.skip -= from;
         self.size -= to - from;
-        let left = [&bytes[..from], &bytes[to..]].concat();
-        (to > from).then(|| left.into())
+        let remaining = [&bytes[..from], &bytes[to..]].concat();
+        (to > from).then(|| remaining.into())
     }
 }
 
-/// What all connections of a link share.
+/// State shared by all connections of a link.
 #[derive(Clone, Debug, Default)]
 struct Shared {
     loss: Arc<Mutex<Loss>>,
-    back: Arc<AtomicU64>,
+    returned_bytes: Arc<AtomicU64>,
 }
 
 impl Shared {
-    /// What of `bytes` on their way back arrives, and whether some of them vanish.
-    fn carry(&self, bytes: Bytes) -> (Bytes, bool) {
-        self.back.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+    /// Counts returned bytes and applies the loss; reports whether any were dropped.
+    fn return_bytes(&self, bytes: Bytes) -> (Bytes, bool) {
+        self.returned_bytes
+            .fetch_add(bytes.len() as u64, Ordering::Relaxed);
         let mut loss = self.loss.lock().expect("the lock is never poisoned");
         match loss.apply(&bytes) {
-            Some(left) => (left, true),
+            Some(remaining) => (remaining, true),
             None => (bytes, false),
         }
     }
 }
 
-/// A running link.
+/// A running link; dropping it closes its connections.
 pub struct Link {
-    /// Where it listens.
+    /// Address on which the link listens.
     pub address: SocketAddr,
     cut: watch::Sender<bool>,
     target: watch::Sender<Option<SocketAddr>>,
@@ -78,7 +79,7 @@
 }
 
 impl Link {
-    /// Listens; each byte arrives `delay` later where [`Link::point`] says.
+    /// Starts the relay; each byte reaches the target set by [`Link::point`] after `delay`.
     pub async fn start(delay: Duration) -> eyre::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))
             .await
@@ -87,15 +88,21 @@
         let cut = watch::Sender::new(false);
         let state = cut.subscribe();
         let target = watch::Sender::new(None);
-        let pointed = target.subscribe();
+        let current_target = target.subscribe();
         let shared = Shared::default();
-        let carrier = shared.clone();
+        let connection_shared = shared.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let target = *pointed.borrow();
+            while let Ok((client, _)) = listener.accept().await {
+                let target = *current_target.borrow();
                 if let Some(target) = target.filter(|_| !*state.borrow()) {
-                    let carrier = carrier.clone();
-                    tokio::spawn(relay(near, target, delay, carrier, state.clone()));
+                    let connection_shared = connection_shared.clone();
+                    tokio::spawn(relay(
+                        client,
+                        target,
+                        delay,
+                        connection_shared,
+                        state.clone(),
+                    ));
                 }
             }
         });
@@ -107,60 +114,61 @@
         })
     }
 
-    /// Relays to `target` from now on.
+    /// Relays new connections to `target`.
     pub fn point(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Loses the `size` bytes that come back after the next `skip` ones, passes later ones on for a
-    /// moment, and closes their connection: so a network behaves that delivers the last of what a
-    /// sender wrote before it gave up.
+    /// Drops `size` bytes of the return direction after the next `skip` ones, delivers later bytes
+    /// for a short time and then closes the connection. This simulates a network that delivers the
+    /// last bytes that a sender wrote before it gave up.
     pub fn lose(&self, skip: usize, size: usize) {
         let mut loss = self.shared.loss.lock().expect("the lock is never poisoned");
         *loss = Loss { skip, size };
     }
 
-    /// Bytes that came back so far.
+    /// Returns the number of bytes that the return direction has received from the target.
     pub fn carried_back(&self) -> u64 {
-        self.shared.back.load(Ordering::Relaxed)
+        self.shared.returned_bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts the link, or mends it; a cut closes every connection.
+    /// Cuts or restores the link; a cut closes every connection.
     pub fn cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
 
 async fn relay(
-    near: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     delay: Duration,
     shared: Shared,
     mut cut: watch::Receiver<bool>,
 ) {
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(target_stream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+    let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
+    let ((client_read, client_write), (target_read, target_write)) =
+        (client.into_split(), target_stream.into_split());
     let lost = watch::Sender::new(false);
-    let mut loses = lost.subscribe();
+    let mut loss_signal = lost.subscribe();
     let back = |bytes| {
-        let (left, vanished) = shared.carry(bytes);
-        if vanished {
+        let (remaining, dropped) = shared.return_bytes(bytes);
+        if dropped {
             lost.send_replace(true);
         }
-        left
+        remaining
     };
-    let there = copy(near_in, far_out, delay, |bytes| bytes);
-    let both = async { tokio::join!(there, copy(far_in, near_out, delay, back)) };
-    let breaks = async {
-        let _ = loses.wait_for(|lost| *lost).await;
-        sleep(LOSS_LINGER).await;
+    let forward = copy(client_read, target_write, delay, |bytes| bytes);
+    let relayed = async { tokio::join!(forward, copy(target_read, client_write, delay, back)) };
+    let closed_after_loss = async {
+        let _ = loss_signal.wait_for(|lost| *lost).await;
+        sleep(CLOSE_AFTER_LOSS).await;
     };
     tokio::select! {
-        _ = both => {}
-        () = breaks => {}
+        _ = relayed => {}
+        () = closed_after_loss => {}
         _ = cut.wait_for(|cut| *cut) => {}
     }
 }
@@ -171,9 +179,9 @@
     delay: Duration,
     carry: impl Fn(Bytes) -> Bytes,
 ) {
-    let (sender, mut receiver) = mpsc::channel::<(Instant, Bytes)>(FLIGHT);
+    let (sender, mut receiver) = mpsc::channel::<(Instant, Bytes)>(MAX_CHUNKS_IN_FLIGHT);
     let read = async move {
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(size) = from.read(&mut chunk).await {
             let due = Instant::now() + delay;
             let bytes = carry(Bytes::copy_from_slice(&chunk[..size]));
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in, or the demo.
+//! Command line of the stand-ins: runs one stand-in, the demo, a measurement or the soak test.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
     store::Store,
 };
 
-/// Small stand-ins for the systems petreldrum meets.
+/// Stand-ins for the external systems that petreldrum talks to.
 #[derive(Debug, Parser)]
 struct Command {
-    /// Where a single stand-in listens.
+    /// Address on which a single stand-in listens.
     #[arg(long, global = true, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     #[command(subcommand)]
@@ -33,7 +33,7 @@
     Platform,
     /// A model engine.
     Engine {
-        /// Requests it runs at once.
+        /// Number of requests that run concurrently.
         #[arg(long, default_value_t = 8)]
         slots: usize,
     },
@@ -41,12 +41,12 @@
     App,
     /// A trace collector.
     Collector,
-    /// Measure: decisions, state, control messages, the price of a hop, the policies.
+    /// Measurements: decisions, state, control messages, the latency of a hop, the policies.
     Measure {
         #[command(subcommand)]
         what: measure::What,
     },
-    /// Boxes of the release binary under random faults, with their promises checked.
+    /// Soak test: boxes of the release binary under random faults, with their guarantees checked.
     Soak(Box<soak::Options>),
     /// A whole system in one process: 3 regions of 3 boxes, backend servers and the store.
     Demo,
--- a/standin/src/measure/allotments.rs
+++ b/standin/src/measure/allotments.rs
@@ -1,4 +1,4 @@
-//! Ways to hold an allotment over many boxes against each other, on the same arrivals.
+//! Compares strategies for enforcing an allotment across many boxes, with the same arrivals.
 
 use std::collections::VecDeque;
 
@@ -9,46 +9,47 @@
 };
 use rand::{Rng as _, SeedableRng as _, rngs::StdRng};
 
-/// What the platform adds up over, and lets pass beyond.
+/// The platform's accounting window, and the use beyond the allotment that it tolerates:
+/// [`OVERAGE`] in proportion, and a fixed number of tokens.
 const TOLERANCE: Tolerance = Tolerance {
     window: Millis(8000),
     tokens: 190_000.0,
 };
 const OVERAGE: f64 = 0.1;
-/// Each run, and the part of it in which the customer sends more.
-const RUN: Millis = Millis(24_000);
-const HOT: (Time, Time) = (Time(8000), Time(16_000));
+/// Duration of a run, and the interval in which the customer sends [`HOT_FACTOR`] times as much.
+const RUN_DURATION: Millis = Millis(24_000);
+const HOT_INTERVAL: (Time, Time) = (Time(8000), Time(16_000));
 const HOT_FACTOR: f64 = 7.5;
-/// How long after that a refusal may still be its fault.
-const AFTER: Millis = Millis(3000);
-/// Time between two looks at what boxes tell, and the age of what others hear of it: in a region by
-/// hubs, between regions by digests.
-const LOOK: u64 = 50;
-const NEAR: (u64, u64) = (250, 500);
-const FAR: (u64, u64) = (700, 1300);
-/// Usual use as a part of the allotment.
-const USUAL: f64 = 1.0 / 1.8;
-/// Tokens of long and short requests, and the part of the tokens that long ones make up.
-const LONG: f64 = 17_500.0;
-const SHORT: f64 = 430.0;
-const LONG_PART: f64 = 0.6;
+/// Time after the hot interval in which refusals may still be caused by it.
+const SETTLING_TIME: Millis = Millis(3000);
+/// Interval between snapshots of the boxes' accounts, and the age in milliseconds at which other
+/// boxes receive them: within a region through hubs, between regions through digests.
+const SNAPSHOT_INTERVAL_MS: u64 = 50;
+const REGION_LAG_MS: (u64, u64) = (250, 500);
+const CROSS_REGION_LAG_MS: (u64, u64) = (700, 1300);
+/// Usual use as a fraction of the allotment.
+const USUAL_FRACTION: f64 = 1.0 / 1.8;
+/// Tokens of long and short requests, and the fraction of all tokens used by long ones.
+const LONG_TOKENS: f64 = 17_500.0;
+const SHORT_TOKENS: f64 = 430.0;
+const LONG_TOKEN_FRACTION: f64 = 0.6;
 const SEEDS: u64 = 3;
 
-/// A way to hold an allotment.
+/// A strategy for enforcing an allotment.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    /// Each box has a fixed part.
+enum Strategy {
+    /// Each box has a fixed, equal share.
     Fixed,
-    /// Each box is lent a part by its share of what is asked for.
+    /// Each box has a share in proportion to its part of the demand.
     Lent,
-    /// All stop where the fleet's use reaches the allotment.
+    /// All boxes refuse requests once the fleet's use reaches the allotment.
     Stop,
-    /// The same, and what is asked for too much is dropped by chance.
+    /// As `Stop`, and excess demand is refused at random.
     Chance,
 }
 
-/// What one look saw.
-struct Look {
+/// Use and demand of the boxes and regions at one time.
+struct Snapshot {
     boxes: Vec<Sum>,
     regions: [Sum; 3],
 }
@@ -82,7 +83,7 @@
     sum.offered += more.offered;
 }
 
-/// The regions' shares of the requests: one has its peak.
+/// Maps a random number to a region: 90% of the requests arrive in region 0, which is at its peak.
 fn region(draw: f64) -> usize {
     match draw {
         d if d < 0.9 => 0,
@@ -91,9 +92,9 @@
     }
 }
 
-fn play(way: Way, boxes: usize, rate: f64, seed: u64) -> Outcome {
+fn simulate(strategy: Strategy, boxes: usize, rate: f64, seed: u64) -> Outcome {
     let mut random = StdRng::seed_from_u64(seed);
-    let customer: id::Customer = "clinic".parse().expect("a name");
+    let customer: id::Customer = "clinic".parse().expect("valid name");
     let allotment = Allotment {
         unit: Unit::Tokens,
         rate: Rate(rate),
@@ -103,58 +104,64 @@
     let mut accounts: Vec<Accounts> = (0..boxes).map(|_| Accounts::new(TOLERANCE)).collect();
     let lags: Vec<(u64, u64)> = (0..boxes)
         .map(|_| {
-            let near = random.random_range(NEAR.0..NEAR.1);
-            (near, random.random_range(FAR.0..FAR.1))
+            let region_lag = random.random_range(REGION_LAG_MS.0..REGION_LAG_MS.1);
+            (
+                region_lag,
+                random.random_range(CROSS_REGION_LAG_MS.0..CROSS_REGION_LAG_MS.1),
+            )
         })
         .collect();
-    let mut looks: Vec<Look> = Vec::new();
-    let (long, short) = (LONG_PART / LONG, (1.0 - LONG_PART) / SHORT);
+    let mut snapshots: Vec<Snapshot> = Vec::new();
+    let (long, short) = (
+        LONG_TOKEN_FRACTION / LONG_TOKENS,
+        (1.0 - LONG_TOKEN_FRACTION) / SHORT_TOKENS,
+    );
     let mut outcome = Outcome::default();
     let mut time = 0.0;
     loop {
-        let hot = time >= HOT.0.0 as f64 && time < HOT.1.0 as f64;
+        let hot = time >= HOT_INTERVAL.0.0 as f64 && time < HOT_INTERVAL.1.0 as f64;
         let factor = if hot { HOT_FACTOR } else { 1.0 };
-        let per_ms = rate * USUAL * factor * (long + short) / 1000.0;
+        let per_ms = rate * USUAL_FRACTION * factor * (long + short) / 1000.0;
         time -= random.random::<f64>().max(f64::MIN_POSITIVE).ln() / per_ms;
         let now = Time(time as u64);
-        if now > Time(0) + RUN {
+        if now > Time(0) + RUN_DURATION {
             return outcome;
         }
-        while looks.len() as u64 * LOOK <= now.0 {
-            let at = Time(looks.len() as u64 * LOOK);
+        while snapshots.len() as u64 * SNAPSHOT_INTERVAL_MS <= now.0 {
+            let at = Time(snapshots.len() as u64 * SNAPSHOT_INTERVAL_MS);
             let sums: Vec<Sum> = accounts.iter().map(|a| a.sum(&customer, at)).collect();
             let mut regions = [Sum::default(); 3];
             for (number, sum) in sums.iter().enumerate() {
                 add(&mut regions[number % 3], *sum);
             }
-            looks.push(Look {
+            snapshots.push(Snapshot {
                 boxes: sums,
                 regions,
             });
         }
         let is_long = random.random_bool(long / (long + short));
-        // A spread as of prompts: some are a quarter of the mean, some three times it.
+        // Spread of prompt sizes: from about a quarter of the mean to three times the mean.
         let spread = (random.random::<f64>() * 2.4 - 1.4).exp() * 1.1;
-        let cost = if is_long { LONG } else { SHORT } * spread;
+        let cost = if is_long { LONG_TOKENS } else { SHORT_TOKENS } * spread;
         let home = region(random.random());
         let members = (boxes - home).div_ceil(3);
         let number = home + 3 * random.random_range(0..members);
-        let seen = |lag: u64| {
-            let index = now.0.checked_sub(lag)? / LOOK;
-            looks.get(index as usize)
+        let snapshot_before = |lag: u64| {
+            let index = now.0.checked_sub(lag)? / SNAPSHOT_INTERVAL_MS;
+            snapshots.get(index as usize)
         };
-        let (near, far) = lags[number];
+        let (region_lag, cross_region_lag) = lags[number];
         let mut others = Sum::default();
         let mut all_offered = 0.0;
-        if let Some(look) = seen(near) {
-            let here = look.regions[home];
-            add(&mut others, here.without(look.boxes[number]));
+        if let Some(snapshot) = snapshot_before(region_lag) {
+            let here = snapshot.regions[home];
+            add(&mut others, here.without(snapshot.boxes[number]));
             all_offered += here.offered;
         }
-        if let Some(look) = seen(far) {
-            for away in (0..3).filter(|r| *r != home) {
-                add(&mut others, look.regions[away]);
-                all_offered += look.regions[away].offered;
+        if let Some(snapshot) = snapshot_before(cross_region_lag) {
+            for other_region in (0..3).filter(|r| *r != home) {
+                add(&mut others, snapshot.regions[other_region]);
+                all_offered += snapshot.regions[other_region].offered;
             }
         }
         let own = accounts[number].sum(&customer, now);
@@ -164,17 +171,17 @@
         };
         let heard = Knowledge::Heard { others, part: 1.0 };
         let draw: u64 = random.random();
-        let (known, draw) = match way {
-            Way::Fixed => (alone(1.0 / boxes as f64), 0),
-            Way::Lent => (
+        let (known, draw) = match strategy {
+            Strategy::Fixed => (alone(1.0 / boxes as f64), 0),
+            Strategy::Lent => (
                 alone((own.offered + cost) / (all_offered + cost).max(own.offered + cost)),
                 0,
             ),
-            Way::Stop => (heard, 0),
-            Way::Chance => (heard, draw),
+            Strategy::Stop => (heard, 0),
+            Strategy::Chance => (heard, draw),
         };
         let taken = accounts[number].take(&customer, &allotment, cost, known, draw, now);
-        let calm = !hot && (now < HOT.0 || now > HOT.1 + AFTER);
+        let calm = !hot && (now < HOT_INTERVAL.0 || now > HOT_INTERVAL.1 + SETTLING_TIME);
         outcome.calm += u32::from(calm);
         match taken {
             Ok(()) => {
@@ -186,27 +193,34 @@
     }
 }
 
-/// Prints the table.
+/// Runs all strategies and prints the table.
 pub(super) fn run() -> eyre::Result<()> {
     println!("boxes  tokens/s  way     largest window  used while hot  refused while calm");
-    let hot = (HOT.1.0 - HOT.0.0) as f64 / 1000.0;
+    let hot = (HOT_INTERVAL.1.0 - HOT_INTERVAL.0.0) as f64 / 1000.0;
     for boxes in [9, 74, 300] {
         for rate in [47_000.0, 200_000.0, 1_000_000.0] {
             let window = TOLERANCE.window.0 as f64 / 1000.0;
             let bound = (rate * window + rate) * (1.0 + OVERAGE) + TOLERANCE.tokens;
-            for way in [Way::Fixed, Way::Lent, Way::Stop, Way::Chance] {
-                let plays: Vec<Outcome> = (0..SEEDS).map(|s| play(way, boxes, rate, s)).collect();
-                let most = plays.iter().map(|p| p.most / bound).fold(0.0, f64::max);
+            for strategy in [
+                Strategy::Fixed,
+                Strategy::Lent,
+                Strategy::Stop,
+                Strategy::Chance,
+            ] {
+                let outcomes: Vec<Outcome> = (0..SEEDS)
+                    .map(|s| simulate(strategy, boxes, rate, s))
+                    .collect();
+                let most = outcomes.iter().map(|p| p.most / bound).fold(0.0, f64::max);
                 let mean = |figures: Vec<f64>| figures.iter().sum::<f64>() / figures.len() as f64;
-                let used = plays.iter().map(|p| p.hot / (rate * hot));
+                let used = outcomes.iter().map(|p| p.hot / (rate * hot));
                 let used = mean(used.collect());
-                let refused = plays
+                let refused = outcomes
                     .iter()
                     .map(|p| f64::from(p.refused) / f64::from(p.calm));
                 let refused = mean(refused.collect());
                 println!(
                     "{boxes:5} {rate:9.0}  {:6}  {most:14.2}  {used:14.2}  {refused:18.4}",
-                    format!("{way:?}").to_lowercase()
+                    format!("{strategy:?}").to_lowercase()
                 );
             }
         }
--- a/standin/src/measure/control.rs
+++ b/standin/src/measure/control.rs
@@ -1,4 +1,4 @@
-//! Messages, bytes and processor time that one box spends on control, by fleet size.
+//! Measures the messages, bytes and processor time of one box's control traffic, by fleet size.
 
 use std::time::{Duration, Instant};
 
@@ -13,24 +13,25 @@
 use super::fleet::{self, Size};
 use crate::crowd::OVERHEAD;
 
-/// Seconds of the box's clock that are played.
-const SECONDS: u64 = 60;
+/// Simulated seconds of the box's clock.
+const SIMULATED_SECONDS: u64 = 60;
 
-/// Milliseconds between two ticks.
-const TENTH: u64 = 100;
-/// Requests that a box holds at the goal's peak, about 24 a second for some seconds each.
-const IN_HAND: u64 = 60;
+/// Interval between ticks, in milliseconds.
+const TICK_MS: u64 = 100;
+/// Requests in flight on a box at the peak of the target size: about 24 per second, each lasting
+/// some seconds.
+const REQUESTS_IN_FLIGHT: u64 = 60;
 
-/// Keeps requests in hand, so that heartbeats have loads to tell of.
+/// Keeps requests in flight, so that heartbeats contain backend loads.
 #[derive(Default)]
-struct Busy {
+struct LoadGenerator {
     requests: u64,
 }
 
-impl Busy {
-    fn keep(&mut self, state: &mut State<Balanced>, size: Size, now: Time) {
-        let wanted = IN_HAND.min((size.workers / size.regions) as u64);
-        // A box that is not ready yet refuses; the next tenth tries again.
+impl LoadGenerator {
+    fn top_up(&mut self, state: &mut State<Balanced>, size: Size, now: Time) {
+        let wanted = REQUESTS_IN_FLIGHT.min((size.workers / size.regions) as u64);
+        // A box that is not ready yet refuses requests; the next tick tries again.
         for _ in state.busy() as u64..wanted {
             self.requests += 1;
             state.step(now, fleet::arrival(size, self.requests));
@@ -39,48 +40,43 @@
 }
 
 #[derive(Default)]
-struct Sum {
+struct Traffic {
     messages: usize,
     bytes: usize,
 }
 
-impl Sum {
+impl Traffic {
     fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes + OVERHEAD;
     }
 
-    fn a_second(&self) -> (f64, f64) {
-        let seconds = SECONDS as f64;
+    fn per_second(&self) -> (f64, f64) {
+        let seconds = SIMULATED_SECONDS as f64;
         (self.messages as f64 / seconds, self.bytes as f64 / seconds)
     }
 }
 
-/// How often a box says something, in tenths of a second: as the reducer's own periods.
-fn tenths(period: Millis) -> u64 {
-    period.0.div_ceil(TENTH)
+/// Converts a sending period of the reducer to ticks, rounded up.
+fn ticks(period: Millis) -> u64 {
+    period.0.div_ceil(TICK_MS)
 }
 
-/// What box 0 hears in a tenth of a second: heartbeats of its region and the digests that reach it.
-fn heard(size: Size, tenth: u64, periods: (u64, u64)) -> Vec<Frame> {
+/// Returns the frames that box 0 receives in one tick: heartbeats of its region and digests.
+fn incoming_frames(size: Size, tick: u64, periods: (u64, u64)) -> Vec<Frame> {
     let mut frames = Vec::new();
     let servers = size.workers / size.regions;
     for number in 1..size.region_boxes() {
-        if (tenth + number as u64).is_multiple_of(periods.0) {
-            frames.push(fleet::heartbeat(
-                size,
-                number * size.regions,
-                tenth,
-                servers,
-            ));
+        if (tick + number as u64).is_multiple_of(periods.0) {
+            frames.push(fleet::heartbeat(size, number * size.regions, tick, servers));
         }
     }
     for region in 1..size.regions {
-        let turn = tenth + region as u64;
+        let turn = tick + region as u64;
         if turn.is_multiple_of(periods.1) {
-            // One box of this region gets the digest and passes it on.
+            // Each digest is sent to one box of this region, which forwards it to the others.
             let first = (turn / periods.1).is_multiple_of(size.region_boxes() as u64);
-            frames.push(fleet::digest(size, region, tenth, first));
+            frames.push(fleet::digest(size, region, tick, first));
         }
     }
     frames
@@ -105,18 +101,18 @@
             boxes,
             regions,
             workers,
-            ..Size::GOAL
+            ..Size::TARGET
         };
         let mut state = fleet::state(size, fleet::config(fleet::text(size)));
-        let (mut out, mut received) = (Sum::default(), Sum::default());
+        let (mut out, mut received) = (Traffic::default(), Traffic::default());
         let mut spent = Duration::ZERO;
-        let mut busy = Busy::default();
-        for tenth in 1..=SECONDS * 1000 / TENTH {
-            let now = Time(tenth * TENTH);
-            busy.keep(&mut state, size, now);
+        let mut load = LoadGenerator::default();
+        for tick in 1..=SIMULATED_SECONDS * 1000 / TICK_MS {
+            let now = Time(tick * TICK_MS);
+            load.top_up(&mut state, size, now);
             let periods = state.periods();
-            let periods = (tenths(periods.0), tenths(periods.1));
-            for frame in heard(size, tenth, periods) {
+            let periods = (ticks(periods.0), ticks(periods.1));
+            for frame in incoming_frames(size, tick, periods) {
                 let bytes = frame.encode(&secret);
                 received.add(bytes.len());
                 let start = Instant::now();
@@ -129,8 +125,8 @@
             spent += start.elapsed() + send(effects, &secret, &mut out);
         }
         let ((out_messages, out_bytes), (in_messages, in_bytes)) =
-            (out.a_second(), received.a_second());
-        let share = spent.as_secs_f64() / SECONDS as f64;
+            (out.per_second(), received.per_second());
+        let share = spent.as_secs_f64() / SIMULATED_SECONDS as f64;
         println!(
             "{boxes:5}  {regions:7}  {workers:7}  {out_messages:9.1}  {out_bytes:7.0}  \
              {in_messages:8.1}  {in_bytes:6.0}  {:14.0}  {:11.3}",
@@ -141,8 +137,8 @@
     Ok(())
 }
 
-/// Encodes what would be sent and returns the time that took.
-fn send(effects: Vec<Effect>, secret: &Secret, out: &mut Sum) -> Duration {
+/// Encodes the outgoing frames, counts them and returns the time taken.
+fn send(effects: Vec<Effect>, secret: &Secret, out: &mut Traffic) -> Duration {
     let start = Instant::now();
     for effect in effects {
         if let Effect::Gossip { frame, .. } = effect {
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions a second and bytes of state, by size.
+//! Measures decisions per second and bytes of state, by fleet size.
 
 use std::{
     fs,
@@ -24,11 +24,11 @@
 use super::fleet::{self, Size};
 
 const REQUESTS: u64 = 20_000;
-const LOOK_UPS: usize = 100_000;
-const PAGE: usize = 4096;
+const LOOKUPS: usize = 100_000;
+const PAGE_BYTES: usize = 4096;
 
-/// What it takes to find the customer of a key, by the number of keys.
-fn keys() -> eyre::Result<()> {
+/// Measures the look-up of an API key's customer, by number of keys.
+fn key_lookups() -> eyre::Result<()> {
     println!("keys     look-up, hash included");
     for count in [40, 400, 4_000, 40_000] {
         let mut text = "[region perth]\n".to_owned();
@@ -46,19 +46,19 @@
         };
         let config = Config::parse("keys", &envelope)?;
         let start = Instant::now();
-        for number in 0..LOOK_UPS {
+        for number in 0..LOOKUPS {
             let key = format!("key-{}-{}", number % (count / 4), number % 4);
             let hash = KeyHash::of(key.as_bytes());
             assert!(black_box(config.customer(&hash)).is_some());
         }
-        let each = start.elapsed().as_nanos() / LOOK_UPS as u128;
+        let each = start.elapsed().as_nanos() / LOOKUPS as u128;
         println!("{count:6}  {each:8} ns");
     }
     Ok(())
 }
 
-/// What it takes to tell what a request asks for, by the size of its body.
-fn contents() -> eyre::Result<()> {
+/// Measures the content fingerprint of a request, by body size.
+fn fingerprints() -> eyre::Result<()> {
     println!("body bytes  fingerprint");
     let secret = "the-secret-of-all-boxes"
         .parse()
@@ -81,24 +81,24 @@
     Ok(())
 }
 
-/// Sizes that grow, up to the goal and to few regions of thousands of servers.
+/// Returns fleet sizes up to the target size, and one with few regions of thousands of servers.
 fn sizes() -> [Size; 4] {
     let size = |boxes, regions, workers| Size {
         boxes,
         regions,
         workers,
-        ..Size::GOAL
+        ..Size::TARGET
     };
     [
         size(9, 3, 10),
         size(90, 10, 100),
-        Size::GOAL,
+        Size::TARGET,
         size(984, 3, 9552),
     ]
 }
 
-/// A box of `size` that has heard from all it would hear from.
-fn acquainted(size: Size) -> State<Balanced> {
+/// Returns a box of a fleet of `size` that has received heartbeats and digests from all senders.
+fn informed_box(size: Size) -> State<Balanced> {
     let mut state = fleet::state(size, fleet::config(fleet::text(size)));
     state.step(Time(1), Event::Tick);
     for number in 1..size.region_boxes() {
@@ -111,7 +111,7 @@
     state
 }
 
-/// One request from arrival to end; returns the number of effects.
+/// Runs one request from arrival to end; returns the number of effects of its arrival.
 fn request(state: &mut State<Balanced>, size: Size, number: u64) -> usize {
     let effects = state.step(Time(2), fleet::arrival(size, number));
     let sent = effects.iter().find_map(|e| match e {
@@ -134,8 +134,8 @@
 }
 
 pub(super) fn run() -> eyre::Result<()> {
-    contents()?;
-    keys()?;
+    fingerprints()?;
+    key_lookups()?;
     println!("workers  boxes  regions  decisions/s  us/decision  config KB  packed KB  check ms");
     for size in sizes() {
         let text = fleet::text(size);
@@ -144,7 +144,7 @@
         let start = Instant::now();
         black_box(fleet::config(text));
         let check = start.elapsed();
-        let mut state = acquainted(size);
+        let mut state = informed_box(size);
         let start = Instant::now();
         for number in 0..REQUESTS {
             black_box(request(&mut state, size, number));
@@ -166,16 +166,16 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|n| n.parse::<usize>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
-fn print(what: &str, count: usize, before: usize) {
-    // Lets the allocator's bookkeeping settle before the reading.
+fn print_growth(what: &str, count: usize, before: usize) {
+    // Lets the allocator's bookkeeping settle before memory is read.
     std::thread::sleep(Duration::from_millis(10));
-    let grown = resident().saturating_sub(before);
+    let grown = resident_bytes().saturating_sub(before);
     let each = grown as f64 / count as f64;
     println!(
         "{what:22} {count:8} {:10.1} KB {each:10.0} B each",
@@ -185,9 +185,9 @@
 
 pub(super) fn state() -> eyre::Result<()> {
     println!("what                      count      grown          each");
-    // Nothing is freed between two readings, so that each finds its own growth.
+    // Nothing is freed between readings, so that each shows only its own growth.
     for count in [1_000, 10_000, 100_000] {
-        let before = resident();
+        let before = resident_bytes();
         let mut ledger = Ledger::default();
         let caller: id::Customer = "caller-1".parse()?;
         for number in 0..count {
@@ -203,11 +203,11 @@
             };
             black_box(ledger.claim(&caller, &key, id::Request(number)));
         }
-        print("remembered key", count as usize, before);
+        print_growth("remembered key", count as usize, before);
         forget(ledger);
     }
     for count in [400, 4_000, 40_000] {
-        let before = resident();
+        let before = resident_bytes();
         let mut accounts = Accounts::default();
         let allotment = Allotment {
             unit: Unit::Requests,
@@ -223,17 +223,17 @@
             let customer: id::Customer = format!("customer-{number}").parse()?;
             let _ = black_box(accounts.take(&customer, &allotment, 1.0, known, 0, Time(0)));
         }
-        print("customer's account", count, before);
+        print_growth("customer's account", count, before);
         forget(accounts);
     }
     for workers in [10, 100, 1_300, 13_000] {
         let size = Size {
             workers,
-            ..Size::GOAL
+            ..Size::TARGET
         };
-        let before = resident();
+        let before = resident_bytes();
         let config = fleet::config(fleet::text(size));
-        print("worker in the config", workers, before);
+        print_growth("worker in the config", workers, before);
         forget(config);
     }
     for boxes in [90, 360, 3_600, 36_000] {
@@ -241,15 +241,15 @@
             boxes,
             regions: 1,
             workers: 54,
-            ..Size::GOAL
+            ..Size::TARGET
         };
         let mut state = fleet::state(size, fleet::config(fleet::text(size)));
-        let before = resident();
+        let before = resident_bytes();
         for number in 1..boxes {
             let frame = fleet::heartbeat(size, number, 1, 20);
             state.step(Time(1), Event::Heard(frame));
         }
-        print("peer of the region", boxes, before);
+        print_growth("peer of the region", boxes, before);
         forget(state);
     }
     Ok(())
--- a/standin/src/measure/fleet.rs
+++ b/standin/src/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! Configurations and reducers of a given size.
+//! Builds configurations, reducers and frames for a given fleet size.
 
 use std::{fmt::Write as _, net::SocketAddr, sync::Arc};
 
@@ -15,7 +15,7 @@
     wire::{Body, Capacity, Contact, Digest, Door, Frame, Heartbeat, Load, Phase, Short},
 };
 
-/// A fleet's size.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Size {
     pub(super) boxes: usize,
@@ -26,8 +26,8 @@
 }
 
 impl Size {
-    /// The size that the users are heading for.
-    pub(super) const GOAL: Self = Self {
+    /// The fleet size planned by users.
+    pub(super) const TARGET: Self = Self {
         boxes: 360,
         regions: 24,
         workers: 1300,
@@ -35,7 +35,7 @@
         models: 4,
     };
 
-    /// Boxes of one region.
+    /// Returns the number of boxes per region.
     pub(super) fn region_boxes(&self) -> usize {
         self.boxes / self.regions
     }
@@ -45,7 +45,7 @@
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 fn address(number: usize, port: u16) -> SocketAddr {
@@ -53,11 +53,12 @@
     SocketAddr::from(([10, a, b, c], port))
 }
 
-/// The text of a configuration of `size`.
+/// Returns the text of a configuration of `size`.
 pub(super) fn text(size: Size) -> String {
     let mut text = String::from("[weights]\ncost = 1\naway = 100\ntail = 1\n");
     for region in 0..size.regions {
-        writeln!(text, "[region region-{region}]\nhop = 40ms").expect("writes");
+        writeln!(text, "[region region-{region}]\nhop = 40ms")
+            .expect("writing to a string succeeds");
     }
     for caller in 0..size.callers {
         let hash = KeyHash::of(format!("key-{caller}").as_bytes());
@@ -68,10 +69,11 @@
              home = region-{home}\nrate = 1000000/s",
             caller % 7
         )
-        .expect("writes");
+        .expect("writing to a string succeeds");
     }
     for model in 0..size.models {
-        writeln!(text, "[model model-{model}]\nlabels = data=plain").expect("writes");
+        writeln!(text, "[model model-{model}]\nlabels = data=plain")
+            .expect("writing to a string succeeds");
     }
     text += "[route chat]\nprefix = /v1\nkind = model\nrepeatable = true\nlabels = kind=chat\n";
     for worker in 0..size.workers {
@@ -84,13 +86,13 @@
             worker % 71,
             worker / size.regions % size.models,
         )
-        .expect("writes");
+        .expect("writing to a string succeeds");
     }
     text += "[selector chat]\nroutes = kind=chat\nbackends = via=gateway\n";
     text
 }
 
-/// `text` as the store holds it.
+/// Wraps `text` in the envelope used in the store.
 pub(super) fn envelope(text: String) -> Envelope {
     Envelope {
         version: Version(1),
@@ -100,13 +102,13 @@
     }
 }
 
-/// Checks `text`.
+/// Parses and validates `text`.
 pub(super) fn config(text: String) -> Arc<Config> {
     let config = Config::parse("measure", &envelope(text));
-    Arc::new(config.expect("the configuration checks"))
+    Arc::new(config.expect("valid configuration"))
 }
 
-/// The box with `number`; boxes go round the regions.
+/// Returns the contact of box `number`; boxes are assigned to regions round-robin.
 pub(super) fn contact(size: Size, number: usize) -> Contact {
     Contact {
         name: name(format!("box-{number}")),
@@ -118,7 +120,7 @@
     }
 }
 
-/// Box 0 of a fleet of `size`, with a configuration.
+/// Returns box 0 of a fleet of `size` with a configuration.
 pub(super) fn state(size: Size, config: Arc<Config>) -> State<Balanced> {
     let identity = Identity {
         contact: contact(size, 0),
@@ -136,7 +138,7 @@
     state
 }
 
-/// What the box with `number` says to its region in second `seq`.
+/// Returns the heartbeat that box `number` sends to its region, with sequence number `seq`.
 pub(super) fn heartbeat(size: Size, number: usize, seq: u64, loads: usize) -> Frame {
     let loads = (0..loads).map(|n| Load {
         backend: Short::of(&format!("worker-{}", n * size.regions)),
@@ -167,7 +169,7 @@
     )
 }
 
-/// What `region` says to another in second `seq`.
+/// Returns the digest that `region` sends to another region, with sequence number `seq`.
 pub(super) fn digest(size: Size, region: usize, seq: u64, spread: bool) -> Frame {
     let doors = (0..3).map(|n| Door {
         contact: contact(size, region + n * size.regions),
@@ -209,7 +211,7 @@
     }
 }
 
-/// The arrival of request `number`.
+/// Returns the arrival event of request `number`.
 pub(super) fn arrival(size: Size, number: u64) -> Event {
     let caller = number as usize % size.callers;
     let model = number as usize % size.models;
--- a/standin/src/measure/hop.rs
+++ b/standin/src/measure/hop.rs
@@ -1,4 +1,4 @@
-//! The price of a hop, as a ratio to calling the backend server directly, in one run.
+//! Measures the latency of a hop through a box, relative to calling the backend server directly.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -15,7 +15,7 @@
 
 const ROUNDS: usize = 1500;
 
-async fn once(address: SocketAddr, path: &str, number: usize) -> eyre::Result<u64> {
+async fn timed_request(address: SocketAddr, path: &str, number: usize) -> eyre::Result<u64> {
     let body = json!({ "id": format!("n{number}") }).to_string();
     let begin = Instant::now();
     let answer = call(address, Method::POST, path, &[("x-api-key", API_KEY)], body).await?;
@@ -44,24 +44,24 @@
     system.configure(&text).await?;
     system.acquainted(regions.len() - 1).await?;
     let gateway = system.boxes["perth-1"].public;
-    let ways = [
+    let paths = [
         ("direct", near, "/near"),
         ("one box", gateway, "/near"),
         ("two boxes", gateway, "/far"),
     ];
     let mut times = Vec::new();
-    for _ in ways {
+    for _ in paths {
         times.push(Histogram::<u64>::new(3)?);
     }
-    // The ways take turns, so that a busy machine slows all alike.
+    // Paths alternate, so that load on the machine affects all of them equally.
     for number in 0..ROUNDS {
-        for (index, (_, address, path)) in ways.iter().enumerate() {
-            times[index].record(once(*address, path, number).await?)?;
+        for (index, (_, address, path)) in paths.iter().enumerate() {
+            times[index].record(timed_request(*address, path, number).await?)?;
         }
     }
     println!("way         p50 us   p95 us   p99 us   p50 over direct");
     let base = times[0].value_at_quantile(0.5) as f64;
-    for ((name, ..), time) in ways.iter().zip(&times) {
+    for ((name, ..), time) in paths.iter().zip(&times) {
         let at = |q| time.value_at_quantile(q);
         println!(
             "{name:10}  {:6}   {:6}   {:6}   {:.2}",
--- a/standin/src/measure/mod.rs
+++ b/standin/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! The figures that the documentation gives; each part prints its table.
+//! Measurements quoted in the documentation; each prints a table.
 
 mod allotments;
 mod control;
@@ -12,45 +12,45 @@
 
 use clap::Subcommand;
 
-/// What to measure.
+/// The measurement to run.
 #[derive(Debug, Subcommand)]
 pub enum What {
-    /// Ways to hold a customer's allotment over many boxes, on the same arrivals.
+    /// Strategies for enforcing a customer's allotment across many boxes, with the same arrivals.
     Allotments,
-    /// Reducer decisions a second, and the configuration's size and checking time, by workers.
+    /// Reducer decisions per second, and configuration size and validation time, by fleet size.
     Decisions,
-    /// Bytes of state for each worker, caller, peer and remembered key.
+    /// Memory per worker, customer, peer and idempotency key.
     State,
-    /// Messages, bytes and processor time for control, by fleet size.
+    /// Messages, bytes and processor time of the control plane, by fleet size.
     Control,
-    /// How boxes that share a backend server's limit hold it, and how much of it they use.
+    /// Compliance with and utilisation of a backend server's limit that boxes share.
     Limits,
-    /// What boxes tell and ask when all of a fleet start together, by size.
+    /// Control traffic when all boxes of a fleet start at once, by fleet size.
     Start {
-        /// Boxes; several sizes where nothing is said.
+        /// Number of boxes; may be repeated. Defaults to several sizes.
         #[arg(long)]
         boxes: Vec<usize>,
     },
-    /// How far a release is exposed that is rolled out, how soon a bad one is stopped, and wrong verdicts.
+    /// Roll-outs: exposure of the new release, time to stop a bad one, and wrong verdicts.
     Rollout {
-        /// Runs of each row.
+        /// Number of runs per row.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Boxes; several sizes where nothing is said.
+        /// Number of boxes; may be repeated. Defaults to several sizes.
         #[arg(long)]
         boxes: Vec<usize>,
     },
-    /// The price of a hop: a request straight to the backend server, through one box, through two.
+    /// Latency of a hop: requests sent directly to the server, through one box, through two.
     Hop,
-    /// The policies against each other, under peaks, lost capacity, a cut link and cold caches.
+    /// Comparison of the policies under peaks, lost capacity, a cut link and cold caches.
     Policies {
-        /// Seconds that each of the five phases lasts.
+        /// Duration of each of the five phases, in seconds.
         #[arg(long, default_value_t = 4)]
         seconds: u64,
     },
 }
 
-/// Measures and prints.
+/// Runs a measurement and prints its table.
 pub async fn run(what: What) -> eyre::Result<()> {
     match what {
         What::Allotments => allotments::run(),
--- a/standin/src/measure/policies.rs
+++ b/standin/src/measure/policies.rs
@@ -1,4 +1,4 @@
-//! The policies against each other in one run: peaks, lost capacity, a cut link, cold caches.
+//! Compares the routing policies under peaks, lost capacity, a cut link and cold caches.
 
 use std::{
     net::SocketAddr,
@@ -22,24 +22,25 @@
 };
 
 const REGIONS: [&str; 3] = ["perth", "bunbury", "geraldton"];
-/// Price of a request at a region's servers.
+/// Price of a request on the servers of each region.
 const PRICES: [f64; 3] = [1.0, 1.3, 1.1];
-/// Price of moving one request and its answer between regions.
-const MOVE: f64 = 0.5;
-const BOXES: usize = 3;
-const ENGINES: usize = 2;
-const SLOTS: usize = 6;
-const TOKENS: u64 = 12;
+/// Price of relaying a request and its answer between regions.
+const RELAY_PRICE: f64 = 0.5;
+const BOXES_PER_REGION: usize = 3;
+const ENGINES_PER_REGION: usize = 2;
+const SLOTS_PER_ENGINE: usize = 6;
+const TOKENS_PER_ANSWER: u64 = 12;
 /// One-way delay between boxes of two regions.
-const DELAY: Duration = Duration::from_millis(20);
-/// The first token is in time within this.
-const IN_TIME: Duration = Duration::from_millis(380);
-/// What callers ask for: the answer must begin within this.
+const LINK_DELAY: Duration = Duration::from_millis(20);
+/// Bound on the time to the first token of answers that count as in time.
+const FIRST_TOKEN_BOUND: Duration = Duration::from_millis(380);
+/// Deadline sent by callers: the answer must begin within this many milliseconds.
 const DEADLINE_MS: &str = "1500";
 const PREFIXES: u64 = 12;
-/// Longer than what names a prefix, so that only the end of a prompt differs.
-const PREFIX_LENGTH: usize = 1100;
-const ENGINE: Behaviour = Behaviour {
+/// Length in bytes, longer than the part of a prompt that identifies its prefix, so that prompts
+/// with the same prefix differ only at the end.
+const MIN_PREFIX_BYTES: usize = 1100;
+const ENGINE_BEHAVIOUR: Behaviour = Behaviour {
     first_ms: 40,
     cold_ms: 60,
     token_ms: 5,
@@ -50,7 +51,7 @@
     limit: None,
 };
 
-/// Requests a second of each region, phase by phase.
+/// Phases, with requests per second in each region.
 const PHASES: [(&str, [u64; 3]); 5] = [
     ("steady", [40, 40, 40]),
     ("perth peaks", [190, 30, 30]),
@@ -66,7 +67,7 @@
 }
 
 impl Deployment {
-    /// The section of weights, from the deployment's example configuration.
+    /// Returns the `[weights]` section of the deployment's example configuration.
     fn weights(&self) -> &'static str {
         let start = self.example.find("[weights]").unwrap_or(0);
         let rest = &self.example[start..];
@@ -86,8 +87,8 @@
     },
 ];
 
-/// What callers saw in one run.
-struct Seen {
+/// Measurements that callers made in one run.
+struct Measurements {
     first: Histogram<u64>,
     whole: Histogram<u64>,
     sent: u64,
@@ -99,7 +100,7 @@
     cost: f64,
 }
 
-impl Seen {
+impl Measurements {
     fn new() -> eyre::Result<Self> {
         Ok(Self {
             first: Histogram::new(3)?,
@@ -117,11 +118,16 @@
 
 fn prompt(region: &str, number: u64) -> String {
     let prefix = format!("{region}-{} ", number % PREFIXES);
-    let repeated = prefix.repeat(PREFIX_LENGTH / prefix.len() + 1);
+    let repeated = prefix.repeat(MIN_PREFIX_BYTES / prefix.len() + 1);
     format!("{repeated}{number}")
 }
 
-async fn one(address: SocketAddr, region: usize, number: u64, seen: Arc<Mutex<Seen>>) {
+async fn send_one(
+    address: SocketAddr,
+    region: usize,
+    number: u64,
+    measured: Arc<Mutex<Measurements>>,
+) {
     let key = key_of(REGIONS[region]);
     let headers = [
         ("x-api-key", key.as_str()),
@@ -129,7 +135,7 @@
     ];
     let body = json!({
         "model": "model",
-        "max_tokens": TOKENS,
+        "max_tokens": TOKENS_PER_ANSWER,
         "messages": [{ "role": "user", "content": prompt(REGIONS[region], number) }],
     });
     let start = Instant::now();
@@ -144,16 +150,16 @@
         }
         answer = Some((begun.finish().await, place));
     }
-    let mut seen = seen.lock().expect("the lock is never poisoned");
-    seen.sent += 1;
+    let mut measured = measured.lock().expect("the lock is never poisoned");
+    measured.sent += 1;
     let Some((answer, place)) = answer.filter(|(a, _)| a.whole) else {
-        seen.failed += 1;
+        measured.failed += 1;
         return;
     };
     if !answer.status.is_success() {
         match answer.status.as_u16() {
-            429 | 503 => seen.refused += 1,
-            _ => seen.failed += 1,
+            429 | 503 => measured.refused += 1,
+            _ => measured.failed += 1,
         }
         return;
     }
@@ -161,22 +167,22 @@
     let place = place.and_then(|p| REGIONS.iter().position(|r| p == *r));
     let place = place.unwrap_or(region);
     let away = place != region;
-    seen.served += 1;
-    seen.in_time += u64::from(first <= IN_TIME);
-    seen.away += u64::from(away);
-    seen.cost += PRICES[place] + if away { MOVE } else { 0.0 };
-    let _ = seen.first.record(first.as_millis() as u64);
-    let _ = seen.whole.record(start.elapsed().as_millis() as u64);
+    measured.served += 1;
+    measured.in_time += u64::from(first <= FIRST_TOKEN_BOUND);
+    measured.away += u64::from(away);
+    measured.cost += PRICES[place] + if away { RELAY_PRICE } else { 0.0 };
+    let _ = measured.first.record(first.as_millis() as u64);
+    let _ = measured.whole.record(start.elapsed().as_millis() as u64);
 }
 
-/// A region's callers: one request after the other at an even pace, each on its own.
+/// Sends a region's requests at a constant rate without waiting for answers (open loop).
 async fn callers(
     boxes: Vec<SocketAddr>,
     region: usize,
     rate: u64,
     span: Duration,
     offset: u64,
-    seen: Arc<Mutex<Seen>>,
+    measured: Arc<Mutex<Measurements>>,
 ) {
     let mut pace = interval(Duration::from_secs_f64(1.0 / rate as f64));
     pace.set_missed_tick_behavior(MissedTickBehavior::Burst);
@@ -187,12 +193,12 @@
         pace.tick().await;
         number += 1;
         let address = boxes[number as usize % boxes.len()];
-        tasks.spawn(one(address, region, number, seen.clone()));
+        tasks.spawn(send_one(address, region, number, measured.clone()));
     }
     tasks.join_all().await;
 }
 
-async fn behave(engine: SocketAddr, behaviour: Behaviour) -> eyre::Result<()> {
+async fn set_behaviour(engine: SocketAddr, behaviour: Behaviour) -> eyre::Result<()> {
     let body = json!(behaviour).to_string();
     call(engine, Method::POST, "/_behave", &[], body).await?;
     Ok(())
@@ -207,11 +213,11 @@
     );
     let mut engines = Vec::new();
     for (region, price) in REGIONS.iter().zip(PRICES) {
-        for number in 0..ENGINES {
-            let engine = start(Engine::new(SLOTS, ENGINE)).await?;
+        for number in 0..ENGINES_PER_REGION {
+            let engine = start(Engine::new(SLOTS_PER_ENGINE, ENGINE_BEHAVIOUR)).await?;
             text += &format!(
                 "[backend {region}-{number}]\naddress = {engine}\nregion = {region}\n\
-                 failure_domain = {region}-a\nserves = model\nslots = {SLOTS}\nprice = {price}\n\
+                 failure_domain = {region}-a\nserves = model\nslots = {SLOTS_PER_ENGINE}\nprice = {price}\n\
                  refusal_header = {REFUSED}\n"
             );
             engines.push(engine);
@@ -220,23 +226,34 @@
     Ok((text, engines))
 }
 
-async fn play(policy: Named, weights: &str, seconds: u64) -> eyre::Result<(Seen, f64)> {
+async fn run_policy(
+    policy: Named,
+    weights: &str,
+    seconds: u64,
+) -> eyre::Result<(Measurements, f64)> {
     let plan = Plan {
         regions: &REGIONS,
-        boxes: BOXES,
+        boxes: BOXES_PER_REGION,
         policy,
-        delay: Some(DELAY),
+        delay: Some(LINK_DELAY),
     };
     let system = System::start(&plan).await?;
     let (text, engines) = configuration(weights).await?;
     system.configure(&text).await?;
     system.acquainted(REGIONS.len() - 1).await?;
-    let seen = Arc::new(Mutex::new(Seen::new()?));
+    let measured = Arc::new(Mutex::new(Measurements::new()?));
     let span = Duration::from_secs(seconds);
     for (index, (_, rates)) in PHASES.iter().enumerate() {
         // The second server of bunbury refuses during the third phase.
         let refuse = index == 2;
-        behave(engines[ENGINES + 1], Behaviour { refuse, ..ENGINE }).await?;
+        set_behaviour(
+            engines[ENGINES_PER_REGION + 1],
+            Behaviour {
+                refuse,
+                ..ENGINE_BEHAVIOUR
+            },
+        )
+        .await?;
         let cut = index == 3;
         for (name, link) in &system.links {
             link.cut(cut && name.starts_with(REGIONS[0]));
@@ -249,22 +266,29 @@
                 .filter(|(n, _)| n.starts_with(REGIONS[region]));
             let boxes = mine.map(|(_, b)| b.public).collect();
             let offset = index as u64 * 1_000_000;
-            regions.spawn(callers(boxes, region, *rate, span, offset, seen.clone()));
+            regions.spawn(callers(
+                boxes,
+                region,
+                *rate,
+                span,
+                offset,
+                measured.clone(),
+            ));
         }
         regions.join_all().await;
     }
-    let again = system
+    let repeats = system
         .sum(&[
             "petreldrum_attempts_total{outcome=\"failed\"",
             "petreldrum_attempts_total{outcome=\"refused\"",
         ])
         .await?;
-    let seen = std::mem::replace(
-        &mut *seen.lock().expect("the lock is never poisoned"),
-        Seen::new()?,
+    let measured = std::mem::replace(
+        &mut *measured.lock().expect("the lock is never poisoned"),
+        Measurements::new()?,
     );
-    let again = again / seen.sent as f64;
-    Ok((seen, again))
+    let repeats = repeats / measured.sent as f64;
+    Ok((measured, repeats))
 }
 
 pub(super) async fn run(seconds: u64) -> eyre::Result<()> {
@@ -273,17 +297,17 @@
         println!("  {name}: {rates:?}");
     }
     println!(
-        "cost of a request: the price of its server, and {MOVE} if it moved; mean over served"
+        "cost of a request: the price of its server, and {RELAY_PRICE} if it moved; mean over served"
     );
     println!(
         "policy        weights        sent  in time  first token p50/p95/p99 ms  \
          whole p50/p95/p99 ms  away   cost   refused  failed  again"
     );
     let baselines = [Named::HomeOnly, Named::Nearest, Named::LeastLoaded];
-    let mut plays: Vec<(Named, Deployment)> = DEPLOYMENTS.map(|d| (Named::Balanced, d)).to_vec();
-    plays.extend(baselines.map(|policy| (policy, DEPLOYMENTS[0])));
-    for (policy, deployment) in plays {
-        let (seen, again) = play(policy, deployment.weights(), seconds).await?;
+    let mut runs: Vec<(Named, Deployment)> = DEPLOYMENTS.map(|d| (Named::Balanced, d)).to_vec();
+    runs.extend(baselines.map(|policy| (policy, DEPLOYMENTS[0])));
+    for (policy, deployment) in runs {
+        let (measured, repeats) = run_policy(policy, deployment.weights(), seconds).await?;
         let at = |h: &Histogram<u64>| {
             format!(
                 "{:4}/{:4}/{:4}",
@@ -292,21 +316,21 @@
                 h.value_at_quantile(0.99)
             )
         };
-        let share = |n: u64| n as f64 / seen.sent as f64 * 100.0;
+        let share = |n: u64| n as f64 / measured.sent as f64 * 100.0;
         let weights = match policy {
             Named::Balanced => deployment.name,
             _ => "-",
         };
         println!(
-            "{policy:12}  {weights:13}  {:5}  {:6.2}%  {:>26}  {:>20}  {:4.1}%  {:5.3}  {:6.2}%  {:5.2}%  {again:.3}",
-            seen.sent,
-            share(seen.in_time),
-            at(&seen.first),
-            at(&seen.whole),
-            seen.away as f64 / seen.served.max(1) as f64 * 100.0,
-            seen.cost / seen.served.max(1) as f64,
-            share(seen.refused),
-            share(seen.failed),
+            "{policy:12}  {weights:13}  {:5}  {:6.2}%  {:>26}  {:>20}  {:4.1}%  {:5.3}  {:6.2}%  {:5.2}%  {repeats:.3}",
+            measured.sent,
+            share(measured.in_time),
+            at(&measured.first),
+            at(&measured.whole),
+            measured.away as f64 / measured.served.max(1) as f64 * 100.0,
+            measured.cost / measured.served.max(1) as f64,
+            share(measured.refused),
+            share(measured.failed),
         );
         sleep(Duration::from_millis(500)).await;
     }
--- a/standin/src/measure/rollout.rs
+++ b/standin/src/measure/rollout.rs
@@ -1,23 +1,22 @@
-//! How far a release is exposed that is rolled out, how soon a bad one is stopped, and how often the verdict
-//! is wrong.
+//! Measures roll-outs: exposure of the new release, time to stop a bad one, and wrong verdicts.
 
 use petreldrum::{rollout::Standing, unit::Millis};
 
 use crate::releases::{Fault, Scene};
 
 const SIZES: [usize; 4] = [3, 30, 72, 300];
-/// Servers of each release, and requests a second.
-const SERVERS: usize = 24;
-const DEMAND: f64 = 200.0;
-/// The time that the order gives.
-const WITHIN: Millis = Millis(12_000);
-/// How long a run is watched at most after the order.
-const MOST: Millis = Millis(30_000);
-/// What may be exposed: a tenth of the requests, and fifty more.
-const SHARE: f64 = 0.1;
-const SLACK: f64 = 50.0;
-/// How long after the 50th bad answer requests may still come.
-const STOP: Millis = Millis(5000);
+/// Servers of each release, and requests per second over all boxes.
+const SERVERS_PER_RELEASE: usize = 24;
+const REQUESTS_PER_S: f64 = 200.0;
+/// Duration given in the order.
+const ORDER_DURATION: Millis = Millis(12_000);
+/// Longest observed time after the order.
+const MAX_RUN: Millis = Millis(30_000);
+/// Permitted exposure of a bad release: a tenth of the requests, plus fifty.
+const MAX_EXPOSED_SHARE: f64 = 0.1;
+const EXPOSED_SLACK: f64 = 50.0;
+/// Time after the 50th bad answer in which requests may still reach a bad release.
+const STOP_WINDOW: Millis = Millis(5000);
 const FAULTS: [(&str, Fault); 7] = [
     ("good", Fault::None),
     ("all fail", Fault::Fails(1.0)),
@@ -28,22 +27,22 @@
     ("one route fails", Fault::OneRoute(0.5)),
 ];
 
-/// What many runs came to.
+/// Aggregated results of many runs.
 #[derive(Default)]
-struct Sums {
+struct Results {
     wrong: usize,
     unfinished: usize,
     over: usize,
     late: usize,
-    /// Share of the requests that the new release got until the time limit or the end.
+    /// Share of requests that reached the new release until the end or the time limit.
     shares: Vec<f64>,
-    /// Time from the order to the end.
+    /// Milliseconds from the order to the end.
     ends: Vec<u64>,
-    /// Time from the first bad answer to the end.
+    /// Milliseconds from the first bad answer to the end.
     stops: Vec<u64>,
 }
 
-/// Plays each size and each fault over `seeds` seeds, and prints a row for each.
+/// Simulates each size and fault with `seeds` seeds, and prints a row for each pair.
 pub(super) fn run(seeds: u64, sizes: &[usize]) {
     let sizes = if sizes.is_empty() { &SIZES[..] } else { sizes };
     println!(
@@ -51,21 +50,21 @@
     );
     for &boxes in sizes {
         for (name, fault) in FAULTS {
-            let mut sums = Sums::default();
+            let mut results = Results::default();
             for seed in 0..seeds {
-                play(boxes, fault, seed, &mut sums);
+                simulate(boxes, fault, seed, &mut results);
             }
-            print(boxes, name, sums);
+            print(boxes, name, results);
         }
     }
 }
 
-fn play(boxes: usize, fault: Fault, seed: u64, sums: &mut Sums) {
-    let mut scene = Scene::new(boxes, SERVERS, DEMAND, seed);
-    scene.order(SERVERS, WITHIN, fault);
-    let ended = scene.pass_until_end(MOST);
+fn simulate(boxes: usize, fault: Fault, seed: u64, results: &mut Results) {
+    let mut scene = Scene::new(boxes, SERVERS_PER_RELEASE, REQUESTS_PER_S, seed);
+    scene.order(SERVERS_PER_RELEASE, ORDER_DURATION, fault);
+    let ended = scene.pass_until_end(MAX_RUN);
     let before = scene.crowd.now;
-    scene.pass(STOP.0 + 1000);
+    scene.pass(STOP_WINDOW.0 + 1000);
     let good = fault == Fault::None;
     let expected = if good {
         Standing::Completed
@@ -73,22 +72,23 @@
         Standing::RolledBack
     };
     let (all, new) = scene.exposed(before);
-    sums.shares.push(new as f64 / all.max(1) as f64);
-    sums.over += usize::from(!good && scene.is_overexposed(before, SHARE, SLACK));
-    sums.late += usize::from(!good && scene.late(STOP) > 0);
+    results.shares.push(new as f64 / all.max(1) as f64);
+    results.over +=
+        usize::from(!good && scene.is_overexposed(before, MAX_EXPOSED_SHARE, EXPOSED_SLACK));
+    results.late += usize::from(!good && scene.late(STOP_WINDOW) > 0);
     if !ended {
-        sums.unfinished += 1;
+        results.unfinished += 1;
         return;
     }
-    let (after, standing) = scene.end_after().expect("it ended");
-    sums.wrong += usize::from(standing != expected);
-    sums.ends.push(after.0);
+    let (after, standing) = scene.end_after().expect("the roll-out has ended");
+    results.wrong += usize::from(standing != expected);
+    results.ends.push(after.0);
     if let Some(first) = scene.bad.first() {
-        sums.stops.push(before.since(*first).0);
+        results.stops.push(before.since(*first).0);
     }
 }
 
-fn spread(mut times: Vec<u64>) -> String {
+fn median_and_max(mut times: Vec<u64>) -> String {
     times.sort_unstable();
     match times.as_slice() {
         [] => "-".to_owned(),
@@ -99,16 +99,16 @@
     }
 }
 
-fn print(boxes: usize, name: &str, sums: Sums) {
-    let mean = sums.shares.iter().sum::<f64>() / sums.shares.len().max(1) as f64;
-    let most = sums.shares.iter().copied().fold(0.0, f64::max);
+fn print(boxes: usize, name: &str, results: Results) {
+    let mean = results.shares.iter().sum::<f64>() / results.shares.len().max(1) as f64;
+    let most = results.shares.iter().copied().fold(0.0, f64::max);
     println!(
         "{boxes:5} {name:18} {:5} {:4} {:4} {:4}  {mean:.3}({most:.3})  {:>13}  {:>13}",
-        sums.wrong,
-        sums.unfinished,
-        sums.over,
-        sums.late,
-        spread(sums.ends),
-        spread(sums.stops),
+        results.wrong,
+        results.unfinished,
+        results.over,
+        results.late,
+        median_and_max(results.ends),
+        median_and_max(results.stops),
     );
 }
--- a/standin/src/measure/start.rs
+++ b/standin/src/measure/start.rs
@@ -1,4 +1,4 @@
-//! What the boxes of a fleet tell and ask each other, engines and the store when all start together, by size.
+//! Measures the traffic between boxes, engines and the store when all boxes start at once, by size.
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
@@ -17,16 +17,17 @@
 use crate::crowd::{Crowd, OVERHEAD, TICK, backend};
 
 const SIZES: [usize; 4] = [30, 100, 300, 1000];
-/// Servers for each box.
-const SERVERS: usize = 10;
-/// When the store's answers reach the boxes: they spread over this time.
-const READING: u64 = 2000;
-/// How long the start lasts, and the calm after it.
-const START: u64 = 10_000;
-const CALM: u64 = 10_000;
-/// Time between two changes of a server, and between two words of the store to its followers.
-const CHANGE: u64 = 500;
-const WORD: u64 = 1000;
+/// Backend servers per box.
+const SERVERS_PER_BOX: usize = 10;
+/// Period over which the boxes' first reads of the store are spread, in milliseconds.
+const READ_SPREAD_MS: u64 = 2000;
+/// Durations of the start and of the steady phase after it, in milliseconds.
+const START_MS: u64 = 10_000;
+const CALM_MS: u64 = 10_000;
+/// Interval between changes of a server, and between revision updates of the store to its watchers,
+/// in milliseconds.
+const CHANGE_INTERVAL_MS: u64 = 500;
+const SYNC_INTERVAL_MS: u64 = 1000;
 const CONFIG: &str = r#"{"version":1,"routes":[],
     "services":[{"name":"s","coldPerS":4.5,"engine":{"kvTokens":298664}}]}"#;
 
@@ -35,16 +36,18 @@
     servers: Vec<Backend>,
     follows: Vec<Follow>,
     revision: Revision,
-    questions: usize,
-    /// Lists that boxes fetched from each other, and the bytes of all lists and changes.
+    inventory_requests: usize,
+    /// Lists and changes that boxes fetched from each other: their number and total bytes.
     fetched: (usize, usize),
+    /// Calls to the store.
     calls: usize,
-    whole: usize,
+    /// Size of the packed complete list.
+    full_list_bytes: usize,
 }
 
 fn config() -> Arc<petreldrum::config::Config> {
-    let envelope = record::envelope(CONFIG.into()).expect("it reads");
-    Arc::new(record::config(&envelope, &Places::default()).expect("it reads"))
+    let envelope = record::envelope(CONFIG.into()).expect("valid configuration");
+    Arc::new(record::config(&envelope, &Places::default()).expect("valid configuration"))
 }
 
 fn server(number: usize, region: &str) -> Backend {
@@ -55,41 +58,41 @@
     fn new(boxes: usize) -> Self {
         let mut crowd = Crowd::across_regions(boxes, config());
         crowd.weighed = Some(vec![BTreeMap::new(); boxes]);
-        let servers: Vec<Backend> = (0..boxes * SERVERS)
+        let servers: Vec<Backend> = (0..boxes * SERVERS_PER_BOX)
             .map(|number| server(number, crowd.region(number)))
             .collect();
         Self {
-            whole: pack::pack(&servers).map_or(0, |packed| packed.len()),
+            full_list_bytes: pack::pack(&servers).map_or(0, |packed| packed.len()),
             crowd,
             follows: vec![Follow::Alone; boxes],
             revision: Revision::first(servers.len() as u64),
             servers,
-            questions: 0,
+            inventory_requests: 0,
             fetched: (0, 0),
             calls: 0,
         }
     }
 
-    /// Lets time pass; the sums of what each box sent meanwhile, by kind.
+    /// Advances time; returns the bytes that each box sent meanwhile, by kind of message.
     fn pass(&mut self, millis: u64) -> Vec<BTreeMap<&'static str, usize>> {
         for _ in 0..millis / TICK {
             self.crowd.now = self.crowd.now + Millis(TICK);
             let now = self.crowd.now.0;
             let boxes = self.crowd.boxes.len() as u64;
             for number in 0..self.follows.len() {
-                let reads = READING * number as u64 / boxes / TICK * TICK + TICK == now;
+                let reads = READ_SPREAD_MS * number as u64 / boxes / TICK * TICK + TICK == now;
                 if reads && self.follows[number] != Follow::Rest {
                     self.read(number);
                 }
             }
-            if now > READING && now.is_multiple_of(CHANGE) {
+            if now > READ_SPREAD_MS && now.is_multiple_of(CHANGE_INTERVAL_MS) {
                 self.change();
             }
-            if now > READING && now.is_multiple_of(WORD) {
-                self.tell(&[]);
+            if now > READ_SPREAD_MS && now.is_multiple_of(SYNC_INTERVAL_MS) {
+                self.notify(&[]);
             }
             for (number, effect) in self.crowd.tick() {
-                self.carry_out(number, effect);
+                self.execute(number, effect);
             }
         }
         let boxes = self.crowd.boxes.len();
@@ -97,7 +100,7 @@
         self.crowd.weighed.replace(empty).unwrap_or_default()
     }
 
-    /// A box reads all pages of the store.
+    /// Delivers all pages of the store's list to a box (500 servers per page).
     fn read(&mut self, number: usize) {
         self.calls += self.servers.len().div_ceil(500);
         let (backends, doubt) = (self.servers.clone(), Millis(0));
@@ -107,16 +110,16 @@
         self.step(number, Event::Synced(revision));
     }
 
-    /// A server changes, and the store tells its followers.
+    /// Changes a server and notifies the watchers of the store.
     fn change(&mut self) {
         self.revision.number += 1;
         let at = self.revision.number as usize % self.servers.len();
         self.servers[at].slots ^= 1;
         let changed = self.servers[at].clone();
-        self.tell(&[changed]);
+        self.notify(&[changed]);
     }
 
-    fn tell(&mut self, changed: &[Backend]) {
+    fn notify(&mut self, changed: &[Backend]) {
         let revision = self.revision;
         for number in 0..self.follows.len() {
             if self.follows[number] == Follow::Rest {
@@ -133,13 +136,13 @@
 
     fn step(&mut self, number: usize, event: Event) {
         for effect in self.crowd.step(number, event) {
-            self.carry_out(number, effect);
+            self.execute(number, effect);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effect: Effect) {
+    fn execute(&mut self, number: usize, effect: Effect) {
         match effect {
-            Effect::Inventory { .. } => self.questions += 1,
+            Effect::Inventory { .. } => self.inventory_requests += 1,
             Effect::Follow(follow) => {
                 if follow != Follow::Rest && self.follows[number] == Follow::Rest {
                     self.read(number);
@@ -156,7 +159,7 @@
                     return;
                 };
                 let bytes = match roster.since {
-                    None => self.whole,
+                    None => self.full_list_bytes,
                     Some(_) => pack::pack(&roster).map_or(0, |packed| packed.len()),
                 };
                 self.fetched.0 += 1;
@@ -168,15 +171,15 @@
     }
 }
 
-/// Plays a start and a calm of each size, and prints what grows.
+/// Simulates the start and the steady phase of each size, and prints their traffic.
 pub(super) fn run(sizes: &[usize]) {
     let sizes = if sizes.is_empty() { &SIZES[..] } else { sizes };
     for &boxes in sizes {
         let begun = Instant::now();
         let mut fleet = Fleet::new(boxes);
-        let start = fleet.pass(START);
-        let (questions, fetched, calls) = (fleet.questions, fleet.fetched, fleet.calls);
-        let calm = fleet.pass(CALM);
+        let start = fleet.pass(START_MS);
+        let (questions, fetched, calls) = (fleet.inventory_requests, fleet.fetched, fleet.calls);
+        let calm = fleet.pass(CALM_MS);
         println!(
             "{boxes} boxes, {} servers: in the start {questions} questions to engines, {} lists and changes \
              fetched of {:.1} MB, {calls} calls to the store; in the calm {} calls ({:.1} s to play)",
@@ -186,12 +189,13 @@
             fleet.calls - calls,
             begun.elapsed().as_secs_f64(),
         );
-        print("start", &start, START);
-        print("calm", &calm, CALM);
+        print("start", &start, START_MS);
+        print("calm", &calm, CALM_MS);
     }
 }
 
-/// One row: what a box sends a second, the middle one and the busiest, and the mean by kind.
+/// Prints a row: the rate sent by the median box and the busiest box, and the mean by kind of
+/// message.
 fn print(phase: &str, sent: &[BTreeMap<&'static str, usize>], millis: u64) {
     let seconds = millis as f64 / 1000.0;
     let rate = |bytes: usize| bytes as f64 / seconds / 1000.0;
--- a/standin/src/memory.rs
+++ b/standin/src/memory.rs
@@ -1,4 +1,4 @@
-//! A model engine that tells what it keeps of prompts: a list, and events as they come.
+//! Stand-in for a model engine that reports its prompt cache, as a full list and as events.
 
 use std::{
     sync::{Arc, Mutex},
@@ -11,18 +11,18 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, whole};
 
-/// How often a held call looks for events.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a long-polling call checks for events.
+const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How it treats calls.
+/// How the engine answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Manner {
-    /// It answers.
+    /// Calls are answered.
     #[default]
     Open,
-    /// It turns calls away.
+    /// Calls are refused with status 429.
     Busy,
-    /// It says nothing.
+    /// Calls are never answered.
     Mute,
 }
 
@@ -32,43 +32,43 @@
     epoch: u64,
     held: Vec<(u64, u32)>,
     events: Vec<(u64, &'static str, u64, u32)>,
-    next: u64,
-    /// Events before this one are not remembered.
-    first: u64,
+    next_event: u64,
+    /// Number of the oldest event that is still available.
+    first_event: u64,
     calls: Vec<(Instant, String)>,
 }
 
-/// The engine's memory; clones share one state.
+/// The prompt cache of an engine; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Memory(Arc<Mutex<Inner>>);
 
 impl Memory {
-    fn with<T>(&self, act: impl FnOnce(&mut Inner) -> T) -> T {
-        act(&mut self.0.lock().expect("the lock is never poisoned"))
+    fn with<T>(&self, operation: impl FnOnce(&mut Inner) -> T) -> T {
+        operation(&mut self.0.lock().expect("the lock is never poisoned"))
     }
 
-    /// It keeps a part of so many tokens; none where it gives the part up.
+    /// Adds a part of a prompt with this number of tokens; zero tokens evict the part.
     pub fn keep(&self, part: u64, tokens: u32) {
         self.with(|inner| {
             inner.held.retain(|(held, _)| *held != part);
             if tokens > 0 {
                 inner.held.push((part, tokens));
             }
-            let sign = if tokens > 0 { "+" } else { "-" };
-            inner.events.push((inner.next, sign, part, tokens));
-            inner.next += 1;
+            let change = if tokens > 0 { "+" } else { "-" };
+            inner.events.push((inner.next_event, change, part, tokens));
+            inner.next_event += 1;
         });
     }
 
-    /// It forgets its events: whoever does not know them has missed them.
+    /// Discards the event history, so that clients that have not read it get an event gap.
     pub fn lose_events(&self) {
         self.with(|inner| {
             inner.events.clear();
-            inner.first = inner.next;
+            inner.first_event = inner.next_event;
         });
     }
 
-    /// It starts again and keeps nothing.
+    /// Restarts the engine: the cache and events are empty, and the epoch is incremented.
     pub fn start_again(&self) {
         self.with(|inner| {
             *inner = Inner {
@@ -79,12 +79,12 @@
         });
     }
 
-    /// It treats calls in this manner from now on.
+    /// Sets how further calls are answered.
     pub fn treat(&self, manner: Manner) {
         self.with(|inner| inner.manner = manner);
     }
 
-    /// The paths of the calls of the last `span`.
+    /// Returns the paths of the calls received within the last `span`.
     pub fn calls(&self, span: Duration) -> Vec<String> {
         self.with(|inner| {
             let recent = inner.calls.iter().filter(|(at, _)| at.elapsed() <= span);
@@ -96,24 +96,24 @@
         self.with(|inner| {
             let row = |(part, tokens): &(u64, u32)| json!(["", format!("{part:x}"), tokens, "m"]);
             let held: Vec<Value> = inner.held.iter().map(row).collect();
-            json!({"epoch": inner.epoch, "nextPageToken": inner.next, "held": held})
+            json!({"epoch": inner.epoch, "nextPageToken": inner.next_event, "held": held})
         })
     }
 
-    /// The events since `since`; none where there are none yet.
+    /// Returns the events from number `since` on, or `None` if there is nothing to report yet.
     fn events(&self, since: u64) -> Option<Value> {
         self.with(|inner| {
-            let later = inner.events.iter().filter(|(number, ..)| *number >= since);
-            let row = |(number, sign, part, tokens): &(u64, &str, u64, u32)| {
-                json!([number, sign, "", format!("{part:x}"), tokens, "m"])
+            let newer = inner.events.iter().filter(|(number, ..)| *number >= since);
+            let row = |(number, change, part, tokens): &(u64, &str, u64, u32)| {
+                json!([number, change, "", format!("{part:x}"), tokens, "m"])
             };
-            let events: Vec<Value> = later.map(row).collect();
-            let lost = since < inner.first;
-            let any = lost || since > inner.next || !events.is_empty();
+            let events: Vec<Value> = newer.map(row).collect();
+            let lost = since < inner.first_event;
+            let reportable = lost || since > inner.next_event || !events.is_empty();
             let answer = json!({
-                "epoch": inner.epoch, "nextPageToken": inner.next, "lost": lost, "events": events,
+                "epoch": inner.epoch, "nextPageToken": inner.next_event, "lost": lost, "events": events,
             });
-            any.then_some(answer)
+            reportable.then_some(answer)
         })
     }
 
@@ -125,10 +125,10 @@
             }
             if began.elapsed() >= wait {
                 return self.with(|inner| {
-                    json!({"epoch": inner.epoch, "nextPageToken": inner.next, "lost": false, "events": []})
+                    json!({"epoch": inner.epoch, "nextPageToken": inner.next_event, "lost": false, "events": []})
                 });
             }
-            sleep(POLL).await;
+            sleep(EVENT_POLL_INTERVAL).await;
         }
     }
 }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's lagging list of live and leaving boxes, and its directory for clients.
+//! Stand-in for the platform's list of live and leaving boxes and its client directory.
+//!
+//! The list changes only when a test sets it, so it can lag behind the boxes.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,14 +9,14 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, whole};
 
-/// Both services; clones share one content.
+/// The list and the directory; clones share their content.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
-    content: Arc<Mutex<Content>>,
+    content: Arc<Mutex<Lists>>,
 }
 
 #[derive(Debug, Default)]
-struct Content {
+struct Lists {
     list: Vec<Value>,
     directory: Vec<Value>,
 }
--- a/standin/src/registry.rs
+++ b/standin/src/registry.rs
@@ -1,4 +1,5 @@
-//! The users' platform's store: items with revisions, watches that are held, and faults on order.
+//! Stand-in for the store of the users' platform: items with revisions, long-polling watches and
+//! injected faults.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -16,30 +17,30 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, whole};
 
-/// How the store treats calls.
+/// A fault injected into the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers.
+    /// Calls are answered.
     #[default]
     None,
-    /// It closes every connection without an answer.
+    /// Every connection is closed without an answer.
     Reset,
-    /// It says nothing.
+    /// Calls are never answered.
     Silent,
-    /// It answers 503.
+    /// Calls are answered with status 503.
     Busy,
-    /// It answers 429.
+    /// Calls are answered with status 429.
     TooMany,
-    /// It closes the connection at every second reading of a page; all else it answers.
+    /// Every second range call has its connection closed; all other calls are answered.
     Uneven,
 }
 
-/// On all answers: how often the store has come back from a copy, plus one.
-const ERA: HeaderName = HeaderName::from_static("store-era");
-/// Changes that are remembered; older ones are gone.
-const HISTORY: usize = 1000;
-/// Items of one page.
-const PAGE: usize = 3;
+/// Response header on all answers: the number of restores from a backup, plus one.
+const ERA_HEADER: HeaderName = HeaderName::from_static("store-era");
+/// Most changes kept in the history; older ones are discarded.
+const MAX_HISTORY: usize = 1000;
+/// Most items in one page of a range call.
+const PAGE_ITEMS: usize = 3;
 
 #[derive(Clone, Debug)]
 struct Change {
@@ -52,22 +53,22 @@
 struct Inner {
     items: BTreeMap<String, (String, u64)>,
     history: VecDeque<Change>,
-    /// Changes up to this revision are not known any more.
-    forgotten: u64,
+    /// Changes up to this revision have been discarded.
+    discarded_revision: u64,
     revision: u64,
-    /// How often the store has come back from a copy, plus one.
+    /// Number of restores from a backup, plus one.
     era: u64,
     calls: BTreeMap<&'static str, u64>,
 }
 
-/// What the store held at some moment.
+/// A backup of the store's content.
 #[derive(Clone, Debug)]
 pub struct Copy {
     items: BTreeMap<String, (String, u64)>,
     revision: u64,
 }
 
-/// The store; clones share one content and one fault.
+/// The platform's store; clones share their content and fault.
 #[derive(Clone, Debug)]
 pub struct Registry {
     inner: Arc<Mutex<Inner>>,
@@ -111,30 +112,30 @@
             revision,
             value,
         });
-        if inner.history.len() > HISTORY {
+        if inner.history.len() > MAX_HISTORY {
             let oldest = inner.history.pop_front();
-            inner.forgotten = oldest.map_or(0, |c| c.revision);
+            inner.discarded_revision = oldest.map_or(0, |c| c.revision);
         }
         drop(inner);
         self.changed.send_replace(revision);
     }
 
-    /// Writes an item.
+    /// Writes a JSON item.
     pub fn put(&self, key: &str, content: &Value) {
         self.change(key, Some(BASE64.encode(content.to_string())));
     }
 
-    /// Writes bytes of any kind.
+    /// Writes arbitrary bytes.
     pub fn put_bytes(&self, key: &str, bytes: &[u8]) {
         self.change(key, Some(BASE64.encode(bytes)));
     }
 
-    /// Takes an item out.
+    /// Removes an item.
     pub fn remove(&self, key: &str) {
         self.change(key, None);
     }
 
-    /// The same content for other boxes, with a fault of its own.
+    /// Returns a store that shares the content but has a separate fault, for other boxes.
     pub fn beside(&self) -> Self {
         Self {
             fault: Arc::default(),
@@ -146,13 +147,13 @@
         *self.fault.lock().expect("the lock is never poisoned")
     }
 
-    /// Misbehaves from now on; watches that are held hear nothing of it.
+    /// Sets the fault; open watches are woken and affected by it as well.
     pub fn set_fault(&self, fault: Fault) {
         *self.fault.lock().expect("the lock is never poisoned") = fault;
         self.changed.send_replace(0);
     }
 
-    /// What it holds now.
+    /// Returns a backup of the current content.
     pub fn copy(&self) -> Copy {
         let inner = self.lock();
         Copy {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
+    /// Restores a backup: later writes are lost, and their revisions are assigned again.
     pub fn restore(&self, copy: &Copy) {
         let mut inner = self.lock();
         inner.items = copy.items.clone();
@@ -172,14 +173,14 @@
         self.changed.send_replace(0);
     }
 
-    /// Forgets what changed so far.
+    /// Discards the history of changes.
     pub fn forget(&self) {
         let mut inner = self.lock();
-        inner.forgotten = inner.revision;
+        inner.discarded_revision = inner.revision;
         inner.history.clear();
     }
 
-    /// Calls so far, by name.
+    /// Returns the number of calls with this name so far.
     pub fn calls(&self, name: &str) -> u64 {
         self.lock().calls.get(name).copied().unwrap_or(0)
     }
@@ -202,19 +203,19 @@
         let all = inner.items.iter();
         let found: Vec<_> = all
             .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
-            .take(PAGE + 1)
+            .take(PAGE_ITEMS + 1)
             .collect();
-        let rows = found.iter().take(PAGE).map(|(key, (value, revision))| {
+        let rows = found.iter().take(PAGE_ITEMS).map(|(key, (value, revision))| {
             json!({ "key": key, "value": value, "revision": revision, "created": revision })
         });
         json!({
             "items": rows.collect::<Vec<_>>(),
-            "truncated": found.len() > PAGE,
+            "truncated": found.len() > PAGE_ITEMS,
             "asOf": inner.revision,
         })
     }
 
-    /// What stands under a key.
+    /// Answers a read of one key.
     fn item(&self, query: &HashMap<String, String>) -> Response<Body> {
         let key = query.get("key").cloned().unwrap_or_default();
         match self.lock().items.get(&key) {
@@ -225,14 +226,14 @@
         }
     }
 
-    /// The content under a key, where it is JSON.
+    /// Returns the value of a key, if it is valid JSON.
     pub fn content(&self, key: &str) -> Option<Value> {
         let inner = self.lock();
         let (value, _) = inner.items.get(key)?;
         serde_json::from_slice(&BASE64.decode(value).ok()?).ok()
     }
 
-    /// Whether the items of a call's conditions were last changed by the numbers that it names.
+    /// Reports whether the revisions of the items match the preconditions of a write.
     fn is_expected(&self, rows: &[Value]) -> bool {
         let inner = self.lock();
         rows.iter().all(|row| {
@@ -242,7 +243,7 @@
         })
     }
 
-    /// Writes what a call says if its conditions hold; leases never run out here.
+    /// Applies a write if its preconditions hold; leases never expire in this stand-in.
     fn write(&self, body: &[u8]) -> Response<Body> {
         let Ok(call) = serde_json::from_slice::<Value>(body) else {
             return whole(StatusCode::BAD_REQUEST, "");
@@ -261,14 +262,15 @@
         json_answer(&json!({ "revision": self.lock().revision }))
     }
 
-    /// What changed after a revision; an error where that is not known any more.
+    /// Returns the changes after a revision, or status 410 (Gone) if that part of the history has
+    /// been discarded or the revision is newer than the store's.
     fn changes(&self, prefix: &str, after: u64) -> Result<Value, StatusCode> {
         let inner = self.lock();
-        if after < inner.forgotten || after > inner.revision {
+        if after < inner.discarded_revision || after > inner.revision {
             return Err(StatusCode::GONE);
         }
-        let later = inner.history.iter().filter(|c| c.revision > after);
-        let rows = later.filter(|c| c.key.starts_with(prefix)).map(|c| {
+        let newer = inner.history.iter().filter(|c| c.revision > after);
+        let rows = newer.filter(|c| c.key.starts_with(prefix)).map(|c| {
             let Change {
                 key,
                 revision,
@@ -287,15 +289,15 @@
         let number = |name: &str| query.get(name).and_then(|v| v.parse().ok()).unwrap_or(0);
         let prefix = query.get("pathPrefix").cloned().unwrap_or_default();
         let after = number("after");
-        let mut news = self.changed.subscribe();
+        let mut changed = self.changed.subscribe();
         let wait = Duration::from_millis(number("waitMs"));
         let _ = timeout(wait, async {
             loop {
                 let fault = self.fault();
                 let found = self.changes(&prefix, after);
-                let some = found.is_ok_and(|f| f["events"] != json!([]));
-                let away = !matches!(fault, Fault::None | Fault::Uneven);
-                if some || away || news.changed().await.is_err() {
+                let has_events = found.is_ok_and(|f| f["events"] != json!([]));
+                let unavailable = !matches!(fault, Fault::None | Fault::Uneven);
+                if has_events || unavailable || changed.changed().await.is_err() {
                     return;
                 }
             }
@@ -303,7 +305,7 @@
         .await;
         let fault = self.fault();
         if !matches!(fault, Fault::None | Fault::Uneven) {
-            return misbehave(fault).await;
+            return apply_fault(fault).await;
         }
         Some(match self.changes(&prefix, after) {
             Ok(content) => json_answer(&content),
@@ -312,7 +314,7 @@
     }
 }
 
-async fn misbehave(fault: Fault) -> Option<Response<Body>> {
+async fn apply_fault(fault: Fault) -> Option<Response<Body>> {
     match fault {
         Fault::None | Fault::Reset | Fault::Uneven => None,
         Fault::Silent => std::future::pending().await,
@@ -331,7 +333,7 @@
     async fn answer(&self, request: Whole) -> Option<Response<Body>> {
         let mut answer = self.call(request).await?;
         let era = HeaderValue::from(self.lock().era);
-        answer.headers_mut().insert(ERA, era);
+        answer.headers_mut().insert(ERA_HEADER, era);
         Some(answer)
     }
 }
@@ -342,23 +344,23 @@
         match request.uri().path() {
             "/v1/kv-range" => match self.count("range") {
                 Fault::None => Some(json_answer(&self.range(&query))),
-                fault => misbehave(fault).await,
+                fault => apply_fault(fault).await,
             },
             "/v1/kv-key" => match self.count("key") {
                 Fault::None => Some(self.item(&query)),
-                fault => misbehave(fault).await,
+                fault => apply_fault(fault).await,
             },
             "/v1/kv-watch" => match self.count("watch") {
                 Fault::None => self.watch(&query).await,
-                fault => misbehave(fault).await,
+                fault => apply_fault(fault).await,
             },
             "/v1/kv-lease" => match self.count("lease") {
                 Fault::None => Some(json_answer(&json!({ "lease": 1, "ttlMs": 600_000 }))),
-                fault => misbehave(fault).await,
+                fault => apply_fault(fault).await,
             },
             "/v1/kv-txn" => match self.count("write") {
                 Fault::None => Some(self.write(request.body())),
-                fault => misbehave(fault).await,
+                fault => apply_fault(fault).await,
             },
             _ => Some(whole(StatusCode::NOT_FOUND, "")),
         }
--- a/standin/src/releases.rs
+++ b/standin/src/releases.rs
@@ -1,5 +1,5 @@
-//! Backend servers of two releases before the reducers of many boxes, with a store that holds the operator's
-//! order and takes the boxes' word, in virtual time.
+//! Simulation of a roll-out in virtual time: backend servers of two releases, the reducers of many
+//! boxes, and a store that holds the operator's order and records the result that the boxes write.
 
 mod play;
 mod servers;
@@ -25,34 +25,35 @@
 pub use servers::{Fault, Server};
 use servers::{REGIONS, config, server};
 
-/// Time between two looks at the servers, in milliseconds.
-const STEP: u64 = 20;
-/// How long a message of the store takes to its followers.
-const WATCHED: Millis = Millis(250);
-/// A request that came to a server after the order.
+/// Interval at which the simulation advances the servers, in milliseconds.
+const STEP_MS: u64 = 20;
+/// Delay from a change of the store to the boxes that watch it.
+const WATCH_DELAY: Millis = Millis(250);
+
+/// A request that reached a server after the roll-out was ordered.
 #[derive(Clone, Copy, Debug)]
 pub struct Came {
-    /// When.
+    /// Arrival time.
     pub at: Time,
-    /// Whether the server is of the new release.
+    /// Whether the server runs the new release.
     pub new: bool,
-    /// The box that sent it.
+    /// Number of the box that sent the request.
     pub number: usize,
 }
 
-/// What the store holds.
+/// The simulated store.
 #[derive(Debug, Default)]
 pub struct Store {
     revision: Revision,
-    /// The roll-out of the service.
+    /// The roll-out entry of the service.
     pub entry: Entry,
-    /// Every end that was written, in order.
+    /// Final states of roll-outs in the order written, with their times.
     pub ends: Vec<(Time, Standing)>,
-    /// Whether it answers.
+    /// Whether the store is unreachable.
     pub down: bool,
 }
 
-/// Boxes, servers, callers and the operator.
+/// A simulated system of boxes, servers, callers and an operator.
 #[derive(Debug)]
 pub struct Scene {
     /// The boxes.
@@ -61,32 +62,33 @@
     pub servers: Vec<Server>,
     /// The store.
     pub store: Store,
-    /// What is wrong with the new release.
+    /// The fault of the new release.
     pub fault: Fault,
-    /// Requests a second at all boxes together.
+    /// Requests per second, over all boxes.
     pub demand: f64,
-    /// Every request that came to a server since the order.
+    /// Every request that reached a server since the order.
     pub came: Vec<Came>,
-    /// When bad answers of the new release were made.
+    /// Times at which requests arrived that the new release answers badly.
     pub bad: Vec<Time>,
-    /// Requests that a server served.
+    /// Number of requests served.
     pub served: usize,
-    /// Requests that the boxes turned away.
+    /// Number of requests refused by the boxes.
     pub refused: usize,
     ordered: Time,
     follows: Vec<Follow>,
-    /// What the store has yet to tell each box.
-    due: VecDeque<(Time, usize, Event)>,
+    /// Store events that are not yet delivered, with due time and box number.
+    pending_events: VecDeque<(Time, usize, Event)>,
     runs: Vec<Run>,
-    /// Requests that came over another box: that box, its request and its attempt.
+    /// Relayed requests: from (receiving box, request) to the sending box, its request and attempt.
     relays: HashMap<(usize, id::Request), (usize, id::Request, id::Attempt)>,
     requests: u64,
-    owed: f64,
+    request_credit: f64,
     rng: StdRng,
 }
 
 impl Scene {
-    /// Boxes of three regions that know each other and `servers` servers of the release v1.
+    /// Starts boxes of three regions and `servers` servers of the release v1, and runs for 8 s so
+    /// that the boxes know each other and the servers.
     pub fn new(boxes: usize, servers: usize, demand: f64, seed: u64) -> Self {
         let mut scene = Self {
             crowd: Crowd::across_regions(boxes, config()),
@@ -100,20 +102,21 @@
             refused: 0,
             ordered: Time(0),
             follows: vec![Follow::Alone; boxes],
-            due: VecDeque::new(),
+            pending_events: VecDeque::new(),
             runs: Vec::new(),
             relays: HashMap::new(),
             requests: 0,
-            owed: 0.0,
+            request_credit: 0.0,
             rng: StdRng::seed_from_u64(seed),
         };
         scene.start_servers(servers, "v1", Millis(0), &REGIONS.map(|(region, _)| region));
-        scene.tell_all();
+        scene.read_all_on_all_boxes();
         scene.pass(8000);
         scene
     }
 
-    /// Starts servers of a release in some regions.
+    /// Starts servers of a release in the given regions; `servers` is the number that all regions
+    /// together would get.
     pub fn start_servers(&mut self, servers: usize, release: &str, cold: Millis, regions: &[&str]) {
         let all: usize = REGIONS.iter().map(|(_, part)| part).sum();
         for (region, part) in REGIONS.iter().filter(|(r, _)| regions.contains(r)) {
@@ -121,7 +124,7 @@
                 let speed = if number % 3 == 2 { 1.3 } else { 1.0 };
                 let name = format!("{release}-{region}-{number}");
                 let server = server(name, region, release, cold, speed);
-                self.tell(Event::Fleet {
+                self.notify(Event::Fleet {
                     change: Change::Put(server.backend.clone()),
                     revision: Revision::first(0),
                 });
@@ -130,7 +133,7 @@
         }
     }
 
-    /// The operator orders the release v2, and its servers start half a second later.
+    /// Orders the roll-out of the release v2; its servers start 500 ms later.
     pub fn order(&mut self, servers: usize, within: Millis, fault: Fault) {
         self.fault = fault;
         self.give_order("v2", within);
@@ -138,25 +141,25 @@
         self.start_servers(servers, "v2", Millis(3000), &REGIONS.map(|(r, _)| r));
     }
 
-    /// The operator's order alone.
+    /// Writes the operator's order without starting servers.
     pub fn give_order(&mut self, release: &str, within: Millis) {
         self.ordered = self.crowd.now;
         self.store.revision.number += 1;
         self.store.entry.order = Some(Order {
-            release: release.parse().expect("a name"),
+            release: release.parse().expect("valid name"),
             within,
             revision: self.store.revision,
         });
-        self.tell_rollouts();
+        self.notify_rollouts();
     }
 
-    /// The operator takes the order back.
+    /// Withdraws the operator's order.
     pub fn withdraw(&mut self) {
         self.store.entry.order = None;
-        self.tell_rollouts();
+        self.notify_rollouts();
     }
 
-    /// Time since the order.
+    /// Returns the time since the order.
     pub fn age(&self) -> Millis {
         self.crowd.now.since(self.ordered)
     }
@@ -164,20 +167,20 @@
     fn rollouts(&self) -> Rollouts {
         let entry = &self.store.entry;
         let some = entry.order.is_some() || entry.written.is_some();
-        let service = "s".parse().expect("a name");
+        let service = "s".parse().expect("valid name");
         some.then(|| (service, entry.clone())).into_iter().collect()
     }
 
-    fn tell_rollouts(&mut self) {
+    fn notify_rollouts(&mut self) {
         let rollouts = self.rollouts();
-        self.tell(Event::Rollouts {
+        self.notify(Event::Rollouts {
             rollouts,
             revision: Revision::first(0),
         });
     }
 
-    /// The store tells its followers of a change.
-    fn tell(&mut self, event: Event) {
+    /// Queues a change of the store for delivery to all boxes.
+    fn notify(&mut self, event: Event) {
         self.store.revision.number += 1;
         let revision = self.store.revision;
         let event = match event {
@@ -185,14 +188,15 @@
             Event::Rollouts { rollouts, .. } => Event::Rollouts { rollouts, revision },
             other => other,
         };
-        let at = self.crowd.now + WATCHED;
+        let at = self.crowd.now + WATCH_DELAY;
         for number in 0..self.crowd.boxes.len() {
-            self.due.push_back((at, number, event.clone()));
-            self.due.push_back((at, number, Event::Synced(revision)));
+            self.pending_events.push_back((at, number, event.clone()));
+            self.pending_events
+                .push_back((at, number, Event::Synced(revision)));
         }
     }
 
-    /// A box reads everything.
+    /// Delivers the complete content of the store to a box.
     fn read_all(&mut self, number: usize) {
         let revision = self.store.revision;
         let rollouts = self.rollouts();
@@ -206,13 +210,13 @@
         self.step(number, Event::Synced(revision));
     }
 
-    fn tell_all(&mut self) {
+    fn read_all_on_all_boxes(&mut self) {
         for number in 0..self.crowd.boxes.len() {
             self.read_all(number);
         }
     }
 
-    /// Kills a box and starts it anew.
+    /// Kills a box and restarts it with empty state.
     pub fn restart(&mut self, number: usize) {
         self.runs.retain(|run| run.number != number);
         self.crowd.launch(number);
@@ -222,7 +226,7 @@
         }
     }
 
-    /// The server ends without a word; what runs there breaks.
+    /// Crashes a server; the requests that it runs fail with a broken connection.
     pub fn crash(&mut self, server: usize) {
         self.servers[server].up = false;
         let (broken, runs): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
@@ -234,36 +238,36 @@
         }
     }
 
-    /// A server leaves the list.
+    /// Crashes a server and removes it from the list of backend servers.
     pub fn remove(&mut self, server: usize) {
         let name = self.servers[server].backend.name.clone();
         self.crash(server);
         let doubt = Millis(0);
         let change = Change::Gone { name, doubt };
         let revision = Revision::first(0);
-        self.tell(Event::Fleet { change, revision });
+        self.notify(Event::Fleet { change, revision });
     }
 
-    /// Lets time pass while callers ask.
+    /// Advances time while callers send requests.
     pub fn pass(&mut self, millis: u64) {
-        for _ in 0..millis / STEP {
-            self.crowd.now = self.crowd.now + Millis(STEP);
-            self.deliver();
-            self.answer();
+        for _ in 0..millis / STEP_MS {
+            self.crowd.now = self.crowd.now + Millis(STEP_MS);
+            self.deliver_store_events();
+            self.advance_runs();
             if self.crowd.now.0.is_multiple_of(TICK) {
                 for (number, effect) in self.crowd.tick() {
-                    self.carry_out(number, effect);
+                    self.execute(number, effect);
                 }
             }
-            self.owed += self.demand * STEP as f64 / 1000.0;
-            while self.owed >= 1.0 {
-                self.owed -= 1.0;
-                self.ask();
+            self.request_credit += self.demand * STEP_MS as f64 / 1000.0;
+            while self.request_credit >= 1.0 {
+                self.request_credit -= 1.0;
+                self.issue_request();
             }
         }
     }
 
-    /// Lets time pass until an end is written; false where that takes longer than `most`.
+    /// Advances time until a final state is written; returns false if none is within `most`.
     pub fn pass_until_end(&mut self, most: Millis) -> bool {
         let since = self.crowd.now;
         while self.store.ends.is_empty() && self.crowd.now.since(since) < most {
@@ -272,26 +276,29 @@
         !self.store.ends.is_empty()
     }
 
-    /// Requests that came to servers between the order and `until`: all, and those to the new release.
+    /// Returns the number of requests that reached servers between the order and `until`: in total,
+    /// and at the new release.
     pub fn exposed(&self, until: Time) -> (usize, usize) {
         let came = self.came.iter().filter(|came| came.at <= until);
         let new = came.clone().filter(|came| came.new).count();
         (came.count(), new)
     }
 
-    /// Whether the new release got more of the requests than may be exposed, at any moment until `until`.
+    /// Reports whether, from the order to `until`, the new release got more requests than `share`
+    /// of the total plus `slack`.
     pub fn is_overexposed(&self, until: Time, share: f64, slack: f64) -> bool {
         let (all, new) = self.exposed(until);
         new as f64 > share * all as f64 + slack
     }
 
-    /// How long after the order its first end was written, and which.
+    /// Returns the first final state written and its time after the order.
     pub fn end_after(&self) -> Option<(Millis, Standing)> {
         let (at, standing) = self.store.ends.first()?;
         Some((at.since(self.ordered), *standing))
     }
 
-    /// Requests to the new release later than `span` after its 50th bad answer.
+    /// Returns the number of requests that reached the new release later than `span` after its 50th
+    /// bad answer.
     pub fn late(&self, span: Millis) -> usize {
         let Some(fiftieth) = self.bad.get(49) else {
             return 0;
@@ -300,7 +307,7 @@
         self.came.iter().filter(|c| c.new && c.at > from).count()
     }
 
-    /// The boxes' numbers by region.
+    /// Returns the numbers of the boxes by region.
     pub fn regions(&self) -> BTreeMap<&'static str, Vec<usize>> {
         let mut regions: BTreeMap<&'static str, Vec<usize>> = BTreeMap::new();
         for number in 0..self.crowd.boxes.len() {
--- a/standin/src/releases/play.rs
+++ b/standin/src/releases/play.rs
@@ -1,4 +1,5 @@
-//! How time passes in a scene: callers ask, boxes decide, servers answer, and the store tells its followers.
+//! Events of the roll-out simulation: callers send requests, boxes route them, servers answer, and
+//! the store notifies its watchers.
 
 use std::net::SocketAddr;
 
@@ -20,49 +21,50 @@
     servers::{Fault, SLOTS},
 };
 
-/// Mean time of an answer, and how far it varies.
-const WORK: (f64, f64) = (120.0, 0.4);
-/// The part of an answer's time after which it begins.
-const BEGINS: f64 = 0.8;
-/// Requests in hand from which on a server that fails under load does.
-const LOADED: u32 = 2;
-/// The share of requests on [`ROUTES`]`[1]` that fail wherever they run.
-const CALLERS_FAULT: f64 = 0.1;
-/// The routes, and the share of requests on the first.
+/// Mean duration of an answer in milliseconds, and its relative variation.
+const ANSWER_MS: (f64, f64) = (120.0, 0.4);
+/// Fraction of an answer's duration after which its first byte arrives.
+const FIRST_BYTE_FRACTION: f64 = 0.8;
+/// Requests in flight from which a server with [`Fault::UnderLoad`] fails.
+const LOADED_REQUESTS: u32 = 2;
+/// Share of requests on [`ROUTES`]`[1]` that fail on any release.
+const CALLER_ERROR_SHARE: f64 = 0.1;
+/// Path prefixes of the routes; [`FIRST_SHARE`] is the share of requests on the first one.
 const ROUTES: [&str; 2] = ["/read/", "/write/"];
 const FIRST_SHARE: f64 = 0.6;
 
-/// A request at a server.
+/// A request that runs on a server.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) number: usize,
     pub(super) send: Send,
     pub(super) server: usize,
-    pub(super) begins: Time,
-    pub(super) ends: Time,
+    pub(super) first_byte_at: Time,
+    pub(super) ends_at: Time,
     pub(super) begun: bool,
     pub(super) fails: bool,
 }
 
 impl Scene {
-    pub(super) fn deliver(&mut self) {
+    pub(super) fn deliver_store_events(&mut self) {
         if self.store.down {
             return;
         }
-        // Followers hear of the store each second, whether or not something changed.
+        // Watchers get the store's revision every second, whether or not it has changed.
         if self.crowd.now.0.is_multiple_of(1000) {
             let at = self.crowd.now;
             let revision = self.store.revision;
             for number in 0..self.crowd.boxes.len() {
-                self.due.push_back((at, number, Event::Synced(revision)));
+                self.pending_events
+                    .push_back((at, number, Event::Synced(revision)));
             }
         }
         while self
-            .due
+            .pending_events
             .front()
             .is_some_and(|(at, ..)| *at <= self.crowd.now)
         {
-            let Some((_, number, event)) = self.due.pop_front() else {
+            let Some((_, number, event)) = self.pending_events.pop_front() else {
                 return;
             };
             if self.follows[number] != Follow::Rest {
@@ -71,7 +73,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self) {
+    pub(super) fn issue_request(&mut self) {
         self.requests += 1;
         let number = self.rng.random_range(0..self.crowd.boxes.len());
         if self.crowd.frozen.contains(&number) {
@@ -104,11 +106,11 @@
 
     pub(super) fn step(&mut self, number: usize, event: Event) {
         for effect in self.crowd.step(number, event) {
-            self.carry_out(number, effect);
+            self.execute(number, effect);
         }
     }
 
-    pub(super) fn carry_out(&mut self, number: usize, effect: Effect) {
+    pub(super) fn execute(&mut self, number: usize, effect: Effect) {
         match effect {
             Effect::Send(send) => self.send(number, send),
             Effect::Reply { request, reply } => match self.relays.remove(&(number, request)) {
@@ -143,15 +145,15 @@
         }
     }
 
-    /// The store takes one end for an order.
+    /// Writes the standing of an order to the store, which accepts one final state per order.
     fn settle(&mut self, order: &Order, standing: Standing) {
         let same = self.store.entry.order.as_ref() == Some(order);
-        let over = self
+        let finished = self
             .store
             .entry
             .standing()
             .is_some_and(|s| s != Standing::Active);
-        if self.store.down || !same || over || self.store.entry.standing() == Some(standing) {
+        if self.store.down || !same || finished || self.store.entry.standing() == Some(standing) {
             return;
         }
         self.store.revision.number += 1;
@@ -163,7 +165,7 @@
         if standing != Standing::Active {
             self.store.ends.push((self.crowd.now, standing));
         }
-        self.tell_rollouts();
+        self.notify_rollouts();
     }
 
     fn send(&mut self, number: usize, send: Send) {
@@ -188,23 +190,25 @@
         if new && (fails || slow) {
             self.bad.push(at);
         }
-        let fails = fails || send.route.as_str() == "write" && self.rng.random_bool(CALLERS_FAULT);
-        let sim = &mut self.servers[server];
-        sim.busy += 1;
-        let queued = 1.0 + f64::from(sim.busy.saturating_sub(SLOTS)) / f64::from(SLOTS);
-        let varied = 1.0 + WORK.1 * self.rng.random_range(-1.0..1.0);
-        let cold = if at < Time(self.ordered.0 + 3500) && new {
+        let fails =
+            fails || send.route.as_str() == "write" && self.rng.random_bool(CALLER_ERROR_SHARE);
+        let target = &mut self.servers[server];
+        target.busy += 1;
+        let queue_factor = 1.0 + f64::from(target.busy.saturating_sub(SLOTS)) / f64::from(SLOTS);
+        let variation = 1.0 + ANSWER_MS.1 * self.rng.random_range(-1.0..1.0);
+        let cold_factor = if at < Time(self.ordered.0 + 3500) && new {
             1.6
         } else {
             1.0
         };
-        let slower = if slow { 4.0 } else { 1.0 };
-        let took = WORK.0 * varied * sim.speed * queued * cold * slower;
+        let slow_factor = if slow { 4.0 } else { 1.0 };
+        let duration_ms =
+            ANSWER_MS.0 * variation * target.speed * queue_factor * cold_factor * slow_factor;
         self.runs.push(Run {
             number,
             server,
-            begins: at + Millis((took * BEGINS) as u64),
-            ends: at + Millis(took as u64),
+            first_byte_at: at + Millis((duration_ms * FIRST_BYTE_FRACTION) as u64),
+            ends_at: at + Millis(duration_ms as u64),
             begun: false,
             fails,
             send,
@@ -223,7 +227,7 @@
             Fault::Fails(share) => (rng.random_bool(share), false),
             Fault::Slow(share) => (false, rng.random_bool(share)),
             Fault::Later(share, from) => (age >= from && rng.random_bool(share), false),
-            Fault::UnderLoad(share) => (busy >= LOADED && rng.random_bool(share), false),
+            Fault::UnderLoad(share) => (busy >= LOADED_REQUESTS && rng.random_bool(share), false),
             Fault::OneRoute(share) => (
                 send.route.as_str() == "write" && rng.random_bool(share),
                 false,
@@ -236,7 +240,7 @@
         ordered.is_some() && self.servers[server].backend.release.as_ref() == ordered
     }
 
-    /// The request goes on to a box of another region.
+    /// Relays the request to a box of another region.
     fn relay(&mut self, number: usize, send: Send) {
         let Target::Relay { peer, .. } = send.target else {
             return;
@@ -244,7 +248,7 @@
         let Some(other) = self.crowd.by_peer(peer) else {
             return;
         };
-        let from: Region = self.crowd.region(number).parse().expect("a name");
+        let from: Region = self.crowd.region(number).parse().expect("valid name");
         self.requests += 1;
         let path = format!("/{}/", send.route);
         let draw = self.rng.random();
@@ -255,10 +259,10 @@
         self.step(other, Event::Arrived(arrival));
     }
 
-    pub(super) fn answer(&mut self) {
+    pub(super) fn advance_runs(&mut self) {
         for mut run in std::mem::take(&mut self.runs) {
             let now = self.crowd.now;
-            if now < run.begins || self.crowd.frozen.contains(&run.number) {
+            if now < run.first_byte_at || self.crowd.frozen.contains(&run.number) {
                 self.runs.push(run);
                 continue;
             }
@@ -272,7 +276,7 @@
                 let (request, attempt) = (run.send.request, run.send.attempt);
                 self.step(run.number, Event::Begun { request, attempt });
             }
-            if now < run.ends {
+            if now < run.ends_at {
                 self.runs.push(run);
                 continue;
             }
--- a/standin/src/releases/servers.rs
+++ b/standin/src/releases/servers.rs
@@ -1,4 +1,4 @@
-//! The servers of two releases, and what may be wrong with the new one.
+//! Simulated backend servers of two releases, and faults of the new release.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::crowd::backend;
 
-/// Slots of a server.
+/// Slots of each server.
 pub(super) const SLOTS: u32 = 12;
 const CONFIG: &str = r#"{"version":1,"routes":[
     {"name":"read","host":"h.example","pathPrefix":"/read/","kind":"idempotent","timeoutMs":4000,
@@ -19,49 +19,49 @@
      "targetLatencyMs":500,"priority":1,"service":"s","maxAttempts":1}],
     "services":[{"name":"s","coldPerS":15}]}"#;
 
-/// What is wrong with the new release.
+/// A fault of the new release; shares are fractions of its answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// So many of its answers are failures.
+    /// This share of answers are errors.
     Fails(f64),
-    /// So many of its answers take four times as long.
+    /// This share of answers take four times as long.
     Slow(f64),
-    /// So many fail, from this time after the order on.
+    /// This share of answers are errors, starting at this time after the order.
     Later(f64, Millis),
-    /// So many fail at a server that has several in hand.
+    /// This share of answers are errors on a server with several requests in flight.
     UnderLoad(f64),
-    /// So many of the answers on the second route fail.
+    /// This share of answers on the second route are errors.
     OneRoute(f64),
 }
 
-/// One backend server.
+/// A simulated backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// As the boxes know it.
+    /// The registration that the boxes receive.
     pub backend: Backend,
-    /// Whether it answers.
+    /// Whether the server is running.
     pub up: bool,
     pub(super) speed: f64,
     pub(super) busy: u32,
 }
 
-/// The regions, and their part of the servers.
+/// The regions, and their relative numbers of servers.
 pub(super) const REGIONS: [(&str, usize); 3] = [("perth", 5), ("bunbury", 4), ("geraldton", 3)];
 
 pub(super) fn config() -> Arc<Config> {
-    let envelope = record::envelope(CONFIG.into()).expect("it reads");
+    let envelope = record::envelope(CONFIG.into()).expect("valid configuration");
     let places = REGIONS.map(|(region, _)| {
-        let domain = format!("{region}-a").parse().expect("a name");
-        (domain, region.parse().expect("a name"))
+        let domain = format!("{region}-a").parse().expect("valid name");
+        (domain, region.parse().expect("valid name"))
     });
     let places = Places {
         domains: places.into(),
         hop: Millis(110),
         beat: Millis(1200),
     };
-    Arc::new(record::config(&envelope, &places).expect("it reads"))
+    Arc::new(record::config(&envelope, &places).expect("valid configuration"))
 }
 
 pub(super) fn server(
@@ -75,7 +75,7 @@
         backend: Backend {
             slots: SLOTS,
             cold,
-            release: Some(release.parse().expect("a name")),
+            release: Some(release.parse().expect("valid name")),
             ..backend(&name, region)
         },
         up: true,
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -1,4 +1,4 @@
-//! Streams of a model engine of the users' platform that move to another engine, with their memory.
+//! Migration of streams between model engines of the users' platform, together with their memory.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,30 +15,31 @@
 
 use crate::worker::Seen;
 
-/// Copies by the engine that a run came from and their handles. Engines share memory only by them.
-static COPIES: LazyLock<Mutex<HashMap<(SocketAddr, String), Copy>>> = LazyLock::new(Mutex::default);
+/// Memory copies by source engine and handle; the only state that engines share.
+static COPIES: LazyLock<Mutex<HashMap<(SocketAddr, String), MemoryCopy>>> =
+    LazyLock::new(Mutex::default);
 
-/// How the engine takes calls to move a run.
+/// How the engine answers calls to move a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Way {
-    /// As it should.
+    /// Calls succeed.
     #[default]
     Good,
-    /// There is no room at the target for the last part.
+    /// The last part of the memory is refused because the target has no room.
     LastRefused,
-    /// The answer to the call that stops a run comes when that has long ended.
+    /// The call that stops a run is handled 1.5 s late, when the run has long ended.
     LastLate,
-    /// The answer to the first call that stops a run is lost.
+    /// The answer to the first call that stops a run is lost: it is answered with status 500.
     LastLost,
 }
 
 /// A copy of a run's memory.
 #[derive(Clone, Debug)]
-struct Copy {
+struct MemoryCopy {
     run: String,
-    /// The engine that holds it; none where it does not hold all.
+    /// The engine that holds the copy; `None` if the copy is incomplete.
     target: Option<SocketAddr>,
-    /// Whether the run has stopped, so that it may go on.
+    /// Whether the run has stopped, so that it may be resumed from the copy.
     stopped: bool,
 }
 
@@ -48,7 +49,7 @@
     events: AtomicU32,
 }
 
-/// A run, while its stream lasts.
+/// A running stream; dropping it ends the run.
 pub(crate) struct Run {
     id: String,
     state: Arc<State>,
@@ -60,7 +61,7 @@
         self.state.stopped.load(Relaxed)
     }
 
-    pub(crate) fn made(&self, event: u32) {
+    pub(crate) fn record_event(&self, event: u32) {
         self.state.events.store(event, Relaxed);
     }
 }
@@ -81,18 +82,18 @@
 }
 
 impl Runs {
-    /// It takes calls in this way from now on.
+    /// Sets how further calls to move a run are answered.
     pub fn take(&self, way: Way) {
         *self.way.lock().expect("the lock is never poisoned") = way;
     }
 
-    /// The handles that were freed here.
+    /// Returns the handles that were freed at this engine.
     pub fn freed(&self) -> Vec<String> {
         let freed = self.freed.lock().expect("the lock is never poisoned");
         freed.clone()
     }
 
-    /// Calls to move a run so far.
+    /// Returns the number of calls to move a run so far.
     pub fn calls(&self) -> u32 {
         self.calls.load(Relaxed)
     }
@@ -111,8 +112,9 @@
         }
     }
 
-    /// Whether a request may run here: one that goes on needs its copy, which serves once.
-    pub(crate) fn admit(&self, here: SocketAddr, headers: &BTreeMap<String, String>) -> bool {
+    /// Reports whether a request may run on this engine. A resumed request needs its memory copy,
+    /// which can be used only once.
+    pub(crate) fn admit(&self, engine: SocketAddr, headers: &BTreeMap<String, String>) -> bool {
         let Some((source, handle)) = headers.get("kv-from").and_then(|f| f.split_once('/')) else {
             return true;
         };
@@ -121,22 +123,22 @@
         };
         let key = (source, handle.to_owned());
         let mut copies = COPIES.lock().expect("the lock is never poisoned");
-        let fits = copies.get(&key).is_some_and(|copy| {
-            let place = source == here || copy.target == Some(here);
+        let admitted = copies.get(&key).is_some_and(|copy| {
+            let holds_copy = source == engine || copy.target == Some(engine);
             let last = headers.contains_key("last-event-id");
-            place && last && copy.stopped && headers.get("request-id") == Some(&copy.run)
+            holds_copy && last && copy.stopped && headers.get("request-id") == Some(&copy.run)
         });
-        if fits {
+        if admitted {
             copies.remove(&key);
         }
-        fits
+        admitted
     }
 
-    /// Answers a call about runs; none for a request of another kind.
-    pub(crate) async fn call(&self, here: SocketAddr, request: &Seen) -> Option<String> {
+    /// Answers a call about runs; returns `None` for any other request.
+    pub(crate) async fn call(&self, engine: SocketAddr, request: &Seen) -> Option<String> {
         let path = request.line.split(' ').nth(1)?;
         if let Some(handle) = path.strip_prefix("/v1/kv-handle/") {
-            let key = (here, handle.to_owned());
+            let key = (engine, handle.to_owned());
             let mut copies = COPIES.lock().expect("the lock is never poisoned");
             let known = copies.remove(&key).is_some();
             let mut freed = self.freed.lock().expect("the lock is never poisoned");
@@ -157,9 +159,9 @@
         let handle = format!("h-{run}");
         let Some(state) = self.lock().get(&run).cloned() else {
             let known = COPIES.lock().expect("the lock is never poisoned");
-            // A run that was stopped keeps its copy.
+            // The copy of a stopped run remains available.
             let stopped = known
-                .get(&(here, handle.clone()))
+                .get(&(engine, handle.clone()))
                 .is_some_and(|c| c.stopped);
             let content = json!({ "handle": handle, "created": 0 });
             return Some(match stopped {
@@ -169,13 +171,13 @@
         };
         let refused = last && way == Way::LastRefused;
         let target = content["targetVersion"].as_str()?.parse().ok();
-        let copy = Copy {
+        let copy = MemoryCopy {
             run,
             target: target.filter(|_| !refused),
             stopped: last,
         };
         state.stopped.fetch_or(last, Relaxed);
-        let key = (here, handle.clone());
+        let key = (engine, handle.clone());
         let mut copies = COPIES.lock().expect("the lock is never poisoned");
         copies.insert(key, copy);
         drop(copies);
--- a/standin/src/script.rs
+++ b/standin/src/script.rs
@@ -1,4 +1,4 @@
-//! Answers whose every write is laid down beforehand, and which end with their connection.
+//! Scripted answers: each write is given in advance, and the end of the connection ends the answer.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,36 +9,36 @@
     time::sleep,
 };
 
-/// The content type of a stream of events.
+/// The content type of a server-sent event stream.
 pub const EVENT_STREAM: &str = "text/event-stream";
-/// Time between two writes.
+/// Pause before each write and before the end of the connection.
 const WRITE_PAUSE: Duration = Duration::from_millis(20);
-/// Most bytes of a request that are read.
-const MAX_REQUEST: usize = 64 << 10;
+/// Most bytes that are read of a request.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// How the connection of an answer ends.
+/// How the connection is ended after an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub enum End {
-    /// It is closed.
+    /// The connection is closed normally.
     #[default]
     Close,
-    /// It is reset.
+    /// The connection is reset (TCP RST).
     Reset,
 }
 
-/// An answer with neither a length nor chunks.
+/// An answer without a content length or chunked encoding.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Script {
-    /// Its content type.
+    /// The content type.
     pub kind: String,
-    /// What is written, piece by piece.
+    /// The writes, in order.
     pub writes: Vec<String>,
-    /// How it ends.
+    /// How the connection ends.
     pub end: End,
 }
 
 impl Script {
-    /// A stream of events that is written in these pieces and then closed.
+    /// Creates an event stream that consists of these writes and then closes.
     pub fn stream(writes: &[&str]) -> Self {
         Self {
             kind: EVENT_STREAM.to_owned(),
@@ -47,12 +47,13 @@
         }
     }
 
-    /// All that is written.
+    /// Returns the complete body.
     pub fn body(&self) -> String {
         self.writes.concat()
     }
 
-    /// Writes it behind `head`, the lines of a head without the empty one, and ends the connection.
+    /// Writes the answer after `head` and ends the connection. `head` holds the status line and
+    /// header lines without the terminating empty line.
     pub async fn play(&self, mut stream: TcpStream, head: &str) -> std::io::Result<()> {
         let head = format!("{head}Content-Type: {}\r\n\r\n", self.kind);
         stream.write_all(head.as_bytes()).await?;
@@ -67,7 +68,8 @@
         Ok(())
     }
 
-    /// A backend server of our own interface that answers every request so; returns its address.
+    /// Starts a backend server of petreldrum's own interface that answers every request with this
+    /// script, and returns its address.
     pub async fn serve(self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -80,8 +82,9 @@
     }
 
     async fn answer(self, mut stream: TcpStream) -> std::io::Result<()> {
-        let mut request = vec![0; MAX_REQUEST];
-        // The bodies of tests come with their heads or right behind them.
+        let mut request = vec![0; MAX_REQUEST_BYTES];
+        // Requests of tests are small: one read is enough, as the body arrives with the head or
+        // right after it.
         let read = stream.read(&mut request).await?;
         if read == 0 {
             return Ok(());
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,4 +1,5 @@
-//! The key-value service: range, transactions with a compare, watches, and faults on order.
+//! Stand-in for the key-value service: range reads, compare-and-swap transactions, watches and
+//! injected faults.
 
 use std::{
     collections::BTreeMap,
@@ -17,18 +18,18 @@
 
 use crate::http::{Body, Service, Whole, json as json_answer, stream, whole};
 
-/// How the store misbehaves.
+/// A fault injected into the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
     /// Every connection is closed without an answer.
     Down,
     /// Every answer takes three seconds.
     Slow,
-    /// The next write takes effect and its reply is lost; then all is well.
+    /// The next write takes effect and its reply is lost; then the fault is cleared.
     LoseReply,
     /// The next write takes effect, its reply is lost, and the store stays down.
     LoseReplyThenDown,
@@ -49,7 +50,7 @@
     open_watches: u64,
 }
 
-/// The store; clones share one content.
+/// The key-value store; clones share their content.
 #[derive(Clone, Debug)]
 pub struct Store {
     inner: Arc<Mutex<Inner>>,
@@ -65,14 +66,15 @@
     }
 }
 
-const SLOW: Duration = Duration::from_secs(3);
+const SLOW_ANSWER_DELAY: Duration = Duration::from_secs(3);
 
 impl Store {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("the lock is never poisoned")
     }
 
-    /// Writes `value` where the key's revision is `expected`, or in any case without one.
+    /// Writes `value` if the key's revision is `expected`, or unconditionally if that is `None`.
+    /// Reports whether it was written.
     fn put(&self, key: &str, value: &str, expected: Option<&str>) -> bool {
         let mut inner = self.lock();
         let current = inner.entries.get(key).map_or(0, |e| e.revision);
@@ -152,7 +154,7 @@
                 Ok(fault) => {
                     self.lock().fault = fault;
                     let revision = self.lock().revision;
-                    // Wakes the watches, which see that the store is down.
+                    // Wakes the watches, so that they end if the store is down.
                     self.changed.send_replace(revision);
                     json_answer(&json!("set"))
                 }
@@ -202,7 +204,7 @@
         let fault = self.lock().fault;
         match fault {
             Fault::Down => return None,
-            Fault::Slow => sleep(SLOW).await,
+            Fault::Slow => sleep(SLOW_ANSWER_DELAY).await,
             Fault::None | Fault::LoseReply | Fault::LoseReplyThenDown => {}
         }
         match path.as_str() {
--- a/standin/src/system.rs
+++ b/standin/src/system.rs
@@ -1,4 +1,4 @@
-//! Boxes of several regions in one process, with the platform's stand-ins.
+//! A complete system in one process: boxes of several regions and the platform's stand-ins.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,41 +19,42 @@
     store::Store,
 };
 
-/// The API key of the one caller in each region.
+/// API key of the caller `ward`; prefix of the keys of the regions' callers.
 pub const API_KEY: &str = "demo-key";
-/// The administration token of every box.
+/// Administration token of every box.
 pub const TOKEN: &str = "demo-admin-token-0001";
 const SECRET: &str = "demo-cluster-secret-0001";
-const TRIES: usize = 400;
-const PAUSE: Duration = Duration::from_millis(50);
+const MAX_POLLS: usize = 400;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a system is made of.
+/// Size and settings of a system.
 #[derive(Clone, Debug)]
 pub struct Plan<'a> {
-    /// The regions' names.
+    /// Names of the regions.
     pub regions: &'a [&'a str],
-    /// Boxes in each region.
+    /// Number of boxes in each region.
     pub boxes: usize,
-    /// How places are chosen.
+    /// Routing policy of the boxes.
     pub policy: Named,
-    /// One-way delay of the links between boxes; none runs without links.
+    /// One-way delay of the links between boxes; without it there are no links.
     pub delay: Option<Duration>,
 }
 
 /// A running system.
 pub struct System {
-    /// The boxes by name, `REGION-NUMBER`.
+    /// Listener addresses of the boxes by name, `REGION-NUMBER`.
     pub boxes: BTreeMap<String, Bound>,
-    /// The link before each box's listener for boxes.
+    /// The link in front of each box's peer listener, by box name.
     pub links: BTreeMap<String, Link>,
 }
 
-/// The API key of the caller at home in `region`.
+/// Returns the API key of the caller whose home is `region`.
 pub fn key_of(region: &str) -> String {
     format!("{API_KEY}-{region}")
 }
 
-/// The sections for the regions, a caller `ward` and one caller at home in each region.
+/// Returns the configuration sections of the regions, the caller `ward` and one caller per region
+/// whose home is that region.
 pub fn sections(regions: &[&str]) -> String {
     let hash = |key: &str| KeyHash::of(key.as_bytes());
     let region = |region: &&str| {
@@ -73,7 +74,7 @@
 }
 
 impl System {
-    /// Starts the platform and the boxes, without a configuration.
+    /// Starts the platform's stand-ins and the boxes, without a configuration.
     pub async fn start(plan: &Plan<'_>) -> eyre::Result<Self> {
         let store = start(Store::default()).await?;
         let list = start(Platform::default()).await?;
@@ -110,13 +111,15 @@
         Ok(Self { boxes, links })
     }
 
-    /// Any one box.
+    /// Returns the listener addresses of the first box.
     pub fn any(&self) -> eyre::Result<Bound> {
         let first = self.boxes.values().next();
-        first.copied().ok_or_else(|| eyre::eyre!("there is no box"))
+        first
+            .copied()
+            .ok_or_else(|| eyre::eyre!("the system has no boxes"))
     }
 
-    /// Puts the first configuration and waits until all boxes take work.
+    /// Writes the first configuration and waits until all boxes are ready.
     pub async fn configure(&self, text: &str) -> eyre::Result<()> {
         let bearer = format!("Bearer {TOKEN}");
         let headers = [
@@ -127,10 +130,13 @@
         let admin = self.any()?.admin;
         let put = call(admin, Method::PUT, "/config", &headers, text.to_owned()).await?;
         if !put.status.is_success() {
-            bail!("configuration: {}", String::from_utf8_lossy(&put.body));
+            bail!(
+                "configuration rejected: {}",
+                String::from_utf8_lossy(&put.body)
+            );
         }
         for (name, bound) in &self.boxes {
-            wait(&format!("{name} is ready"), || async {
+            wait_until(&format!("{name} is ready"), || async {
                 let answer = call(bound.admin, Method::GET, "/ready", &[], "").await;
                 answer.is_ok_and(|a| a.status.is_success())
             })
@@ -139,12 +145,12 @@
         Ok(())
     }
 
-    /// Waits until every box has heard of `others` other regions.
+    /// Waits until every box has received digests of `others` other regions.
     pub async fn acquainted(&self, others: usize) -> eyre::Result<()> {
         let bearer = format!("Bearer {TOKEN}");
         let headers = [("authorization", bearer.as_str())];
         for (name, bound) in &self.boxes {
-            wait(&format!("{name} hears {others} regions"), || async {
+            wait_until(&format!("{name} knows {others} other regions"), || async {
                 let Ok(answer) = call(bound.admin, Method::GET, "/status", &headers, "").await
                 else {
                     return false;
@@ -159,7 +165,7 @@
         Ok(())
     }
 
-    /// Asks all boxes for their metrics and adds up the lines that begin with one of `names`.
+    /// Reads the metrics of all boxes and sums the values of lines that begin with one of `names`.
     pub async fn sum(&self, names: &[&str]) -> eyre::Result<f64> {
         let mut sum = 0.0;
         for bound in self.boxes.values() {
@@ -173,15 +179,15 @@
     }
 }
 
-async fn wait<F>(what: &str, mut holds: impl FnMut() -> F) -> eyre::Result<()>
+async fn wait_until<F>(what: &str, mut condition: impl FnMut() -> F) -> eyre::Result<()>
 where
     F: Future<Output = bool>,
 {
-    for _ in 0..TRIES {
-        if holds().await {
+    for _ in 0..MAX_POLLS {
+        if condition().await {
             return Ok(());
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
-    bail!("not in time: {what}")
+    bail!("timed out waiting for condition: {what}")
 }
--- a/standin/src/worker.rs
+++ b/standin/src/worker.rs
@@ -1,6 +1,7 @@
-//! A backend server of the users' platform that misbehaves as each request asks it to.
+//! Stand-in for a backend server of the users' platform; each request selects how it is answered,
+//! including malformed answers.
 //!
-//! It writes bytes as they stand, since an HTTP library would not write what it must get wrong.
+//! Answers are written as raw bytes, since an HTTP library would not produce malformed ones.
 
 use std::{
     collections::BTreeMap,
@@ -20,93 +21,94 @@
     time::sleep,
 };
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u32 = 20;
-/// The header by which a request says how it is to be answered.
+/// Request header that selects the answer mode.
 pub const MODE: &str = "x-mode";
-/// The mode in which the request's body is the [`Script`] of its answer.
+/// The mode in which the request body is the [`Script`] of the answer.
 pub const SCRIPTED: &str = "scripted";
 
-/// How long a request that ends its server has run by then.
+/// Time that a request runs before it crashes its server.
 const CRASH_AFTER: Duration = Duration::from_millis(50);
 
-/// How much later than its connections a server that ends slowly closes its port.
-const PORT_LAG: Duration = Duration::from_millis(40);
+/// Delay between closing the connections and closing the port in mode `crash-slowly`.
+const PORT_CLOSE_DELAY: Duration = Duration::from_millis(40);
 
-/// How far the end of a server has come.
+/// Shutdown phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// It runs.
-    None,
-    /// Its connections are closed, and its port is not yet.
-    Connections,
-    /// Nothing is left.
-    Port,
+enum Shutdown {
+    /// The server runs.
+    Running,
+    /// The connections are closed; the port is still open.
+    ConnectionsClosed,
+    /// The connections and the port are closed.
+    PortClosed,
 }
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// The first line.
+    /// The request line.
     pub line: String,
-    /// The headers, by their names in lower case.
+    /// The headers, with lower-case names.
     pub headers: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// The backend server; clones share what was seen.
+/// The backend server; clones share their state.
 #[derive(Clone, Debug)]
 pub struct Worker {
     name: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
-    left: Arc<Mutex<Vec<String>>>,
+    /// Ids of requests whose connection was closed while they ran.
+    abandoned: Arc<Mutex<Vec<String>>>,
     connections: Arc<AtomicUsize>,
-    /// When requests came.
+    /// Arrival times of requests.
     arrivals: Arc<Mutex<Vec<Instant>>>,
-    /// What its answers say of itself: headers and their values.
-    said: Arc<Mutex<BTreeMap<&'static str, String>>>,
-    /// How it answers whatever a request asks for.
-    always: Arc<Mutex<Option<String>>>,
-    /// The streams that run here, and their copies.
+    /// Additional headers on answers.
+    extra_headers: Arc<Mutex<BTreeMap<&'static str, String>>>,
+    /// Mode that overrides the mode selected by requests.
+    forced_mode: Arc<Mutex<Option<String>>>,
+    /// The running streams and their memory copies.
     pub runs: Arc<Runs>,
-    /// How far the end of the process has come.
-    end: watch::Sender<End>,
+    /// Shutdown phase of the server.
+    shutdown: watch::Sender<Shutdown>,
 }
 
 impl Worker {
-    /// Starts one on loopback.
+    /// Starts a server on loopback.
     pub async fn start(name: &str) -> eyre::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let worker = Self {
             name: name.to_owned(),
             address: listener.local_addr()?,
             seen: Arc::default(),
-            left: Arc::default(),
+            abandoned: Arc::default(),
             connections: Arc::default(),
             arrivals: Arc::default(),
-            said: Arc::default(),
-            always: Arc::default(),
+            extra_headers: Arc::default(),
+            forced_mode: Arc::default(),
             runs: Arc::default(),
-            end: watch::Sender::new(End::None),
+            shutdown: watch::Sender::new(Shutdown::Running),
         };
-        let served = worker.clone();
+        let acceptor = worker.clone();
         tokio::spawn(async move {
-            let mut end = served.end.subscribe();
+            let mut shutdown = acceptor.shutdown.subscribe();
             loop {
                 let stream = tokio::select! {
                     Ok((stream, _)) = listener.accept() => stream,
-                    _ = end.wait_for(|end| *end == End::Port) => return,
+                    _ = shutdown.wait_for(|phase| *phase == Shutdown::PortClosed) => return,
                 };
-                let worker = served.clone();
+                let worker = acceptor.clone();
                 worker.connections.fetch_add(1, Ordering::Relaxed);
                 tokio::spawn(async move {
-                    let mut end = worker.end.subscribe();
+                    let mut shutdown = worker.shutdown.subscribe();
                     tokio::select! {
                         _ = worker.serve(stream) => {}
-                        _ = end.wait_for(|end| *end != End::None) => {}
+                        _ = shutdown.wait_for(|phase| *phase != Shutdown::Running) => {}
                     }
                 });
             }
@@ -114,61 +116,67 @@
         Ok(worker)
     }
 
-    /// The requests that came with this id.
+    /// Returns the received requests with this id.
     pub fn seen(&self, id: &str) -> Vec<Seen> {
         let seen = self.seen.lock().expect("the lock is never poisoned");
         let same = |s: &&Seen| s.headers.get("request-id").is_some_and(|i| i == id);
         seen.iter().filter(same).cloned().collect()
     }
 
-    /// The ids of requests whose connection was closed while they ran.
+    /// Returns the ids of requests whose connection was closed while they ran.
     pub fn left(&self) -> Vec<String> {
-        self.left
+        self.abandoned
             .lock()
             .expect("the lock is never poisoned")
             .clone()
     }
 
-    /// When requests came.
+    /// Returns the arrival times of requests.
     pub fn arrivals(&self) -> Vec<Instant> {
         let arrivals = self.arrivals.lock().expect("the lock is never poisoned");
         arrivals.clone()
     }
 
-    /// Its answers say from now on that it takes so many requests a second, or nothing.
+    /// Sets or removes the `Server-Limit` header (requests per second) of further answers.
     pub fn name_limit(&self, limit: Option<&str>) {
         self.say("Server-Limit", limit);
     }
 
-    /// Its answers bear this header from now on, or no longer.
+    /// Sets or removes a header of further answers.
     pub fn say(&self, header: &'static str, value: Option<&str>) {
-        let mut said = self.said.lock().expect("the lock is never poisoned");
+        let mut extra_headers = self
+            .extra_headers
+            .lock()
+            .expect("the lock is never poisoned");
         match value {
-            Some(value) => said.insert(header, value.to_owned()),
-            None => said.remove(header),
+            Some(value) => extra_headers.insert(header, value.to_owned()),
+            None => extra_headers.remove(header),
         };
     }
 
-    /// It answers in `mode` from now on, whatever a request asks for.
+    /// Answers all further requests in `mode`, whatever mode they select.
     pub fn answer_always(&self, mode: &str) {
-        let mut always = self.always.lock().expect("the lock is never poisoned");
-        *always = Some(mode.to_owned());
+        let mut forced_mode = self.forced_mode.lock().expect("the lock is never poisoned");
+        *forced_mode = Some(mode.to_owned());
     }
 
-    fn said_lines(&self) -> String {
-        let said = self.said.lock().expect("the lock is never poisoned");
-        let lines = said
+    fn extra_header_lines(&self) -> String {
+        let extra_headers = self
+            .extra_headers
+            .lock()
+            .expect("the lock is never poisoned");
+        let lines = extra_headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"));
         lines.collect()
     }
 
-    /// Whether a request has ended it: nothing listens any more, and all its connections are closed.
+    /// Reports whether a request has crashed the server: its port and connections are closed.
     pub fn has_ended(&self) -> bool {
-        *self.end.borrow() == End::Port
+        *self.shutdown.borrow() == Shutdown::PortClosed
     }
 
-    /// Connections that were opened to it so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
@@ -181,7 +189,8 @@
                 .get(MODE)
                 .is_some_and(|mode| mode == "early");
             if early {
-                // Before the body is in; the connection stays, and the rest is read after it.
+                // Answers before the body has been received; the connection stays open, and the
+                // body is read afterwards.
                 let id = request
                     .headers
                     .get("request-id")
@@ -193,7 +202,7 @@
                 return Ok(());
             }
             if early {
-                self.note(request);
+                self.record(request);
                 continue;
             }
             if let Some(answer) = self.runs.call(self.address, &request).await {
@@ -201,32 +210,32 @@
                 continue;
             }
             let id = request.headers.get("request-id").cloned();
-            let always = self
-                .always
+            let forced_mode = self
+                .forced_mode
                 .lock()
                 .expect("the lock is never poisoned")
                 .clone();
             let asked = request.headers.get(MODE).cloned();
-            let mode = always.or(asked).unwrap_or_default();
+            let mode = forced_mode.or(asked).unwrap_or_default();
             let last = request.headers.get("last-event-id");
             let last: u32 = last.and_then(|l| l.parse().ok()).unwrap_or(0);
-            let mine = request.headers.get("target-instance") == Some(&self.name);
+            let addressed = request.headers.get("target-instance") == Some(&self.name);
             let admitted = self.runs.admit(self.address, &request.headers);
-            // Whoever goes on with a stream brings the rest of it as usual.
-            let scripted = mine && admitted && mode == SCRIPTED && last == 0;
+            // A resumed stream gets its remaining events in the usual way, not the script.
+            let scripted = addressed && admitted && mode == SCRIPTED && last == 0;
             let script: Option<Script> = scripted
                 .then(|| serde_json::from_slice(&request.body).ok())
                 .flatten();
-            self.note(request);
+            self.record(request);
             let id = id.unwrap_or_default();
             if let Some(script) = script {
-                let said = self.said_lines();
+                let extra_headers = self.extra_header_lines();
                 let head = format!(
-                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{said}Response-Signature: signed\r\n"
+                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{extra_headers}Response-Signature: signed\r\n"
                 );
                 return script.play(stream, &head).await;
             }
-            let mode = match (mine, admitted) {
+            let mode = match (addressed, admitted) {
                 (false, _) => "replaced",
                 (true, false) => "full",
                 (true, true) => mode.as_str(),
@@ -238,14 +247,14 @@
         Ok(())
     }
 
-    fn note(&self, request: Seen) {
+    fn record(&self, request: Seen) {
         let mut arrivals = self.arrivals.lock().expect("the lock is never poisoned");
         arrivals.push(Instant::now());
         let mut seen = self.seen.lock().expect("the lock is never poisoned");
         seen.push(request);
     }
 
-    /// Answers one request; false where the connection ends with it.
+    /// Answers one request; returns false if the connection is closed afterwards.
     async fn answer(
         &self,
         stream: &mut TcpStream,
@@ -253,22 +262,23 @@
         mode: &str,
         last: u32,
     ) -> std::io::Result<bool> {
-        let said = self.said_lines();
+        let extra_headers = self.extra_header_lines();
         let head = |status: &str, more: &str| {
-            format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{said}{more}")
+            format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n{extra_headers}{more}")
         };
         let signed = "Response-Signature: signed\r\n";
         let body = format!("{}:{id}", self.name);
         let length = format!("Content-Length: {}\r\n\r\n", body.len());
-        let good = head("200 OK", signed) + &length + &body;
-        let (bytes, stays) = match mode {
+        let success = head("200 OK", signed) + &length + &body;
+        let (bytes, keep_alive) = match mode {
             "full" => (
                 head("503 Full", "Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"),
                 true,
             ),
             "promise" => (head("503 Hm", signed) + &length + &body, true),
             "error" => (head("500 Error", signed) + &length + &body, true),
-            // Made before whoever names the limit has seen it.
+            // An error without the additional headers, as from a component that does not add the
+            // server's limit.
             "bare-error" => (
                 format!("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\n{signed}{length}{body}"),
                 true,
@@ -279,17 +289,18 @@
                 true,
             ),
             "other" => (
-                good.replace(&format!("Request-Id: {id}"), "Request-Id: other"),
+                success.replace(&format!("Request-Id: {id}"), "Request-Id: other"),
                 true,
             ),
-            "surplus" => (good.clone() + &good.replace(id, "surplus"), true),
+            "surplus" => (success.clone() + &success.replace(id, "surplus"), true),
             "unframed" => (head("200 OK", signed) + "\r\n" + &body, false),
             "bodiless" => (
-                good.replace("200 OK", "204 No Content")
+                success
+                    .replace("200 OK", "204 No Content")
                     .replace(&(length.clone() + &body), "\r\n"),
                 true,
             ),
-            "cut" => (good[..good.len() - 2].to_owned(), false),
+            "cut" => (success[..success.len() - 2].to_owned(), false),
             "garbage" => ("%%% no protocol %%%\r\n\r\n".to_owned(), false),
             "lost" => (String::new(), false),
             mode if mode.starts_with("stream-after-") => {
@@ -313,31 +324,32 @@
                 let start = head("200 OK", signed) + "Transfer-Encoding: chunked\r\n\r\n";
                 stream.write_all(start.as_bytes()).await?;
                 sleep(CRASH_AFTER).await;
-                let end = self.end.clone();
+                let shutdown = self.shutdown.clone();
                 if mode == "crash-slowly" {
-                    end.send_replace(End::Connections);
+                    shutdown.send_replace(Shutdown::ConnectionsClosed);
                     tokio::spawn(async move {
-                        sleep(PORT_LAG).await;
-                        end.send_replace(End::Port);
+                        sleep(PORT_CLOSE_DELAY).await;
+                        shutdown.send_replace(Shutdown::PortClosed);
                     });
                 } else {
-                    end.send_replace(End::Port);
+                    shutdown.send_replace(Shutdown::PortClosed);
                 }
                 return Ok(false);
             }
             "silent" => return self.wait(stream, id).await,
             "slow" => {
                 sleep(Duration::from_millis(400)).await;
-                (good, true)
+                (success, true)
             }
-            _ => (good, true),
+            _ => (success, true),
         };
         stream.write_all(bytes.as_bytes()).await?;
-        Ok(stays)
+        Ok(keep_alive)
     }
 
-    /// Streams the events after `last` until the other side leaves or all are sent; fewer than all
-    /// end within an event, and with the connection.
+    /// Streams the events after `last` up to `end`, or until the client disconnects. If `end` is
+    /// less than [`EVENTS`], the stream breaks off inside the next event and the connection is
+    /// closed.
     async fn stream(
         &self,
         stream: &mut TcpStream,
@@ -357,10 +369,10 @@
             let event = format!("id: {number}\ndata: {}\n\n", self.name);
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             if stream.write_all(chunk.as_bytes()).await.is_err() {
-                self.note_left(id);
+                self.record_abandoned(id);
                 return Ok(false);
             }
-            run.made(number);
+            run.record_event(number);
             sleep(Duration::from_millis(50)).await;
         }
         if end < EVENTS {
@@ -373,22 +385,23 @@
         Ok(true)
     }
 
-    /// Runs until the other side leaves.
+    /// Keeps the request running without an answer until the client disconnects.
     async fn wait(&self, stream: &mut TcpStream, id: &str) -> std::io::Result<bool> {
         let mut byte = [0; 1];
         if !matches!(stream.read(&mut byte).await, Ok(n) if n > 0) {
-            self.note_left(id);
+            self.record_abandoned(id);
         }
         Ok(false)
     }
 
-    fn note_left(&self, id: &str) {
-        let mut left = self.left.lock().expect("the lock is never poisoned");
-        left.push(id.to_owned());
+    fn record_abandoned(&self, id: &str) {
+        let mut abandoned = self.abandoned.lock().expect("the lock is never poisoned");
+        abandoned.push(id.to_owned());
     }
 }
 
-/// Reads the head of a request and the length of its body; none at the end of the connection.
+/// Reads the head of a request; returns it with the content length, or `None` at the end of the
+/// connection.
 async fn read_head(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -419,7 +432,7 @@
     Ok(Some((seen, length)))
 }
 
-/// Reads the body of a request; false at the end of the connection.
+/// Reads the body of a request; returns false if the connection ends first.
 async fn read_body(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
--- a/standin/tests/store_swap.rs
+++ b/standin/tests/store_swap.rs
@@ -1,4 +1,6 @@
-//! The store's stand-in keeps the promises that the product relies on.
+//! Checks that the store's stand-in provides the guarantees that the gateway relies on: of
+//! concurrent compare-and-swap writes only one succeeds, and a write whose reply is lost takes
+//! effect.
 
 use std::net::SocketAddr;
 
@@ -24,7 +26,9 @@
 #[tokio::test]
 async fn swaps_once() {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (address, _) = serve(loopback, Store::default()).await.expect("listens");
+    let (address, _) = serve(loopback, Store::default())
+        .await
+        .expect("the store starts");
     let mut tasks = Vec::new();
     for index in 0..16 {
         let body = swap(0, &format!("v{index}"));
@@ -32,7 +36,7 @@
     }
     let mut won = 0;
     for task in tasks {
-        let answer = task.await.expect("ends").expect("answers");
+        let answer = task.await.expect("task completes").expect("store answers");
         won += u64::from(answer["succeeded"] == true);
     }
     assert_eq!(won, 1);
@@ -41,13 +45,15 @@
 #[tokio::test]
 async fn loses_a_reply() {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (address, _) = serve(loopback, Store::default()).await.expect("listens");
+    let (address, _) = serve(loopback, Store::default())
+        .await
+        .expect("the store starts");
     send(address, "/_fault", json!("lose_reply"))
         .await
-        .expect("set");
+        .expect("fault is set");
     assert_eq!(send(address, "/v3/kv/txn", swap(0, "new")).await, None);
     let range = send(address, "/v3/kv/range", json!({ "key": "k" }))
         .await
-        .expect("answers");
+        .expect("store answers");
     assert_eq!(range["kvs"][0]["value"], "new");
 }
