--- a/standin/src/soak/check/answers.rs
+++ b/standin/src/soak/check/answers.rs
@@ -1,56 +1,59 @@
-//! What callers got: their own answers, whole and once, true refusals, nothing lost.
+//! Checks of the answers that callers received: their own, complete, from a single run, truthful
+//! refusals and no losses.
 
 use std::collections::BTreeSet;
 
 use super::{
     super::{
-        fleet::GRACE,
+        fleet::TERMINATION_GRACE,
         record::{Answer, Arrival, Attempt, Kind, Ms, Outcome, Part},
-        server::{EVENTS, body_of, signature},
+        server::{EVENTS, response_body, signature},
     },
-    APPLY_MS, Breach, CONTACT_MS, Rule, View,
+    Breach, CONFIG_APPLY_MS, CONTACT_MS, Rule, View,
 };
 
-/// A request that was not passed on may end so soon after its last byte: it crossed a close (`lossSlackMs`).
-const CROSSING_MS: Ms = 200;
-/// How long a planned stop counts after the time that the platform leaves a process.
+/// A request that was not forwarded is excused if it ends this soon after it was sent: it crossed a
+/// close of the connection (`lossSlackMs`).
+const CLOSE_RACE_MS: Ms = 200;
+/// How long a planned stop still counts as planned work after the platform's grace period.
 const AFTER_GRACE_MS: Ms = 1000;
-/// How long routes let a request take.
-const TIMEOUT_MS: Ms = 3000;
-/// How much longer a request may lack its final answer, and how many may beside a quarter.
-const HELD_MS: Ms = 500;
-const HELD: usize = 8;
-/// Requests from kept connections that a box in touch may lose.
-const LOST: usize = 3;
-/// Requests that a box in touch may deny, beside one in [`DENIED_SHARE`].
-const DENIED: usize = 5;
+/// Timeout of the routes.
+const ROUTE_TIMEOUT_MS: Ms = 3000;
+/// How far beyond the timeout a request may lack its final answer. A breach takes at least
+/// `MIN_HELD` such requests, and more than a quarter of those that reach the timeout.
+const ANSWER_SLACK_MS: Ms = 500;
+const MIN_HELD: usize = 8;
+/// Forwarded requests that boxes in touch may lose.
+const MAX_LOST: usize = 3;
+/// Requests that boxes in touch may deny, in addition to one in [`DENIED_SHARE`].
+const MAX_DENIED: usize = 5;
 const DENIED_SHARE: usize = 500;
-/// Denials of what every configuration allows, whoever says them.
-const DENIED_ANYWHERE: usize = 10;
+/// Denials (401, 403, 404) of requests that every configuration allows, by any box.
+const MAX_DENIED_ANYWHERE: usize = 10;
 
 pub(super) fn check(view: &View<'_>, breaches: &mut Vec<Breach>) {
-    let mut found = Found::default();
+    let mut counts = Counts::default();
     for attempt in &view.record.attempts {
-        once(view, attempt, breaches);
-        outlasting(view, attempt, &mut found);
+        check_once(view, attempt, breaches);
+        count_outlasting(view, attempt, &mut counts);
         match &attempt.end {
             Some((end, Outcome::Answer(answer))) => {
-                own_answer(view, attempt, answer, breaches);
-                denied(view, attempt, *end, answer, &mut found);
+                check_own_answer(view, attempt, answer, breaches);
+                count_denied(view, attempt, *end, answer, &mut counts);
                 if !answer.whole {
-                    lost(view, attempt, *end, &mut found, breaches);
+                    check_lost(view, attempt, *end, &mut counts, breaches);
                 }
             }
-            Some((end, Outcome::Closed)) => lost(view, attempt, *end, &mut found, breaches),
+            Some((end, Outcome::Closed)) => check_lost(view, attempt, *end, &mut counts, breaches),
             Some((_, Outcome::Unsent | Outcome::GaveUp)) | None => {}
         }
     }
-    found.judge(view, breaches);
+    counts.report(view, breaches);
 }
 
-/// What counts only in numbers.
+/// Counts of events that are breaches only above a limit.
 #[derive(Default)]
-struct Found {
+struct Counts {
     lost: usize,
     denied: usize,
     denied_anywhere: usize,
@@ -58,43 +61,45 @@
     held: usize,
 }
 
-impl Found {
-    fn judge(&self, view: &View<'_>, breaches: &mut Vec<Breach>) {
-        let mut more = |rule: Rule, broken: bool, what: &str| {
-            let what = what.to_owned();
+impl Counts {
+    fn report(&self, view: &View<'_>, breaches: &mut Vec<Breach>) {
+        let mut report_if = |rule: Rule, broken: bool, detail: &str| {
+            let detail = detail.to_owned();
             if broken {
-                breaches.push(Breach { rule, what });
+                breaches.push(Breach { rule, detail });
             }
         };
-        let allowed = DENIED + view.record.attempts.len() / DENIED_SHARE;
+        let allowed = MAX_DENIED + view.record.attempts.len() / DENIED_SHARE;
         let lost =
             "boxes in touch passed requests on and closed without an answer, more than three times";
-        more(Rule::Lost, self.lost > LOST, lost);
+        report_if(Rule::Lost, self.lost > MAX_LOST, lost);
         let denied = "boxes in touch deny what every configuration allows";
-        more(Rule::Denied, self.denied > allowed, denied);
+        report_if(Rule::Denied, self.denied > allowed, denied);
         let anywhere = "boxes deny what every configuration allows";
-        more(
+        report_if(
             Rule::Denied,
-            self.denied_anywhere > DENIED_ANYWHERE,
+            self.denied_anywhere > MAX_DENIED_ANYWHERE,
             anywhere,
         );
         let held = "boxes in touch hold requests far beyond what their routes allow";
-        let often = self.held >= HELD && self.held * 4 > self.outlasting;
-        more(Rule::Config, often, held);
+        let often = self.held >= MIN_HELD && self.held * 4 > self.outlasting;
+        report_if(Rule::Config, often, held);
     }
 }
 
-/// CONFIG: requests that outlast their route's time, and those that lack an answer long after it.
-fn outlasting(view: &View<'_>, attempt: &Attempt, found: &mut Found) {
+/// CONFIG: counts requests that reach their route's timeout, and those that still lack an answer
+/// long after it.
+fn count_outlasting(view: &View<'_>, attempt: &Attempt, counts: &mut Counts) {
     let end = attempt.end.as_ref().map_or(view.now, |(end, _)| *end);
     let lasted = end - attempt.sent;
-    found.outlasting += usize::from(lasted >= TIMEOUT_MS);
-    let held = lasted > TIMEOUT_MS + HELD_MS && view.in_touch(attempt.entry, end);
-    found.held += usize::from(held);
+    counts.outlasting += usize::from(lasted >= ROUTE_TIMEOUT_MS);
+    let held = lasted > ROUTE_TIMEOUT_MS + ANSWER_SLACK_MS && view.in_touch(attempt.entry, end);
+    counts.held += usize::from(held);
 }
 
-/// TWICE and REFUSED.
-fn once(view: &View<'_>, attempt: &Attempt, breaches: &mut Vec<Breach>) {
+/// TWICE and REFUSED: requests of kind `once` run at most once, and not at all if they were
+/// refused.
+fn check_once(view: &View<'_>, attempt: &Attempt, breaches: &mut Vec<Breach>) {
     if attempt.kind != Kind::Once {
         return;
     }
@@ -102,36 +107,43 @@
     let arrivals = view.arrivals(id);
     let runs: u32 = arrivals.iter().map(|a| a.runs).sum();
     if runs > 1 {
-        let what = format!("{id} ran {runs} times");
+        let detail = format!("{id} ran {runs} times");
         breaches.push(Breach {
             rule: Rule::Twice,
-            what,
+            detail,
         });
     }
     if let Some((_, Outcome::Answer(answer))) = &attempt.end
         && matches!(answer.status, 408 | 421 | 429 | 503)
         && runs > 0
     {
-        let what = format!("{id} was refused with {}, and ran", answer.status);
+        let detail = format!("{id} was refused with {}, and ran", answer.status);
         breaches.push(Breach {
             rule: Rule::Refused,
-            what,
+            detail,
         });
     }
 }
 
-/// MIXED and ORDER.
-fn own_answer(view: &View<'_>, attempt: &Attempt, answer: &Answer, breaches: &mut Vec<Breach>) {
+/// MIXED and ORDER: an answer is that of the server that ran the request, with all events in order.
+fn check_own_answer(
+    view: &View<'_>,
+    attempt: &Attempt,
+    answer: &Answer,
+    breaches: &mut Vec<Breach>,
+) {
     let id = &attempt.id;
     let success = answer.status / 100 == 2;
-    let mut broken = |rule: Rule, what: &str| {
-        let what = format!("{id}: {what}");
-        breaches.push(Breach { rule, what });
+    let mut broken = |rule: Rule, detail: &str| {
+        let detail = format!("{id}: {detail}");
+        breaches.push(Breach { rule, detail });
     };
-    let signer = answer.signature.as_ref().and_then(|mark| {
+    let signer = answer.signature.as_ref().and_then(|expected_signature| {
         let mut arrivals = view.arrivals(id).iter();
-        arrivals
-            .find(|a| signature(&view.record.lives[a.life].name, a.number) == *mark && a.runs > 0)
+        arrivals.find(|a| {
+            signature(&view.record.lives[a.life].name, a.number) == *expected_signature
+                && a.runs > 0
+        })
     });
     let Some(signer) = signer else {
         if success || answer.signature.is_some() {
@@ -149,12 +161,12 @@
         return;
     }
     if attempt.kind == Kind::Stream {
-        if let Some(fault) = order(view, answer) {
+        if let Some(fault) = stream_fault(view, answer) {
             broken(Rule::Order, fault);
         }
         return;
     }
-    let expected = body_of(&view.record.lives[signer.life].name, id);
+    let expected = response_body(&view.record.lives[signer.life].name, id);
     if answer.whole && answer.body != expected {
         broken(Rule::Mixed, "the body is not the server's");
     }
@@ -163,11 +175,11 @@
     }
 }
 
-/// What is wrong with a stream's events; those of an unfinished one may end within an event.
-fn order(view: &View<'_>, answer: &Answer) -> Option<&'static str> {
+/// Returns what is wrong with a stream's events; an incomplete stream may end inside an event.
+fn stream_fault(view: &View<'_>, answer: &Answer) -> Option<&'static str> {
     let names: BTreeSet<&str> = view.record.lives.iter().map(|l| l.name.as_str()).collect();
     let mut events: Vec<&str> = answer.body.split("\n\n").collect();
-    // What follows the last blank line is nothing, or an event that was cut.
+    // After the last blank line there is nothing, or an event that was cut.
     let rest = events.pop().unwrap_or_default();
     for (index, event) in events.iter().enumerate() {
         let expected = format!("id: {}\ndata: ", index + 1);
@@ -182,8 +194,8 @@
     (answer.whole && !complete).then_some("it ends as complete before its last event")
 }
 
-/// DENIED: a refusal of its own for a proper request that every configuration allows.
-fn denied(view: &View<'_>, attempt: &Attempt, end: Ms, answer: &Answer, found: &mut Found) {
+/// DENIED: counts refusals by a box itself of well-formed requests that every configuration allows.
+fn count_denied(view: &View<'_>, attempt: &Attempt, end: Ms, answer: &Answer, counts: &mut Counts) {
     let own = answer.signature.is_none() && matches!(answer.status, 300..=499);
     if !own
         || matches!(answer.status, 408 | 421 | 429)
@@ -191,42 +203,44 @@
     {
         return;
     }
-    found.denied += usize::from(view.in_touch(attempt.entry, end));
-    found.denied_anywhere += usize::from(matches!(answer.status, 401 | 403 | 404));
+    counts.denied += usize::from(view.in_touch(attempt.entry, end));
+    counts.denied_anywhere += usize::from(matches!(answer.status, 401 | 403 | 404));
 }
 
-/// LOST: around planned work one is too many; elsewhere some are, from boxes in touch.
-fn lost(
+/// LOST: around planned work any lost request is a breach; elsewhere losses of boxes in touch are
+/// counted.
+fn check_lost(
     view: &View<'_>,
     attempt: &Attempt,
     end: Ms,
-    found: &mut Found,
+    counts: &mut Counts,
     breaches: &mut Vec<Breach>,
 ) {
     let (id, entry, sent) = (&attempt.id, attempt.entry, attempt.sent);
     let arrivals = view.arrivals(id);
-    let broke_off = arrivals
+    let server_broke_off = arrivals
         .iter()
         .any(|a| view.server_failed(a.life, sent, end));
     // "The time limit or the route's timeout was reached", "the worker broke off".
-    if broke_off || end - sent >= TIMEOUT_MS {
+    if server_broke_off || end - sent >= ROUTE_TIMEOUT_MS {
         return;
     }
-    let passed = !arrivals.is_empty();
+    let forwarded = !arrivals.is_empty();
     let in_touch = |a: &&Arrival| view.sender_in_touch(entry, a, end);
-    found.lost += usize::from(passed && arrivals.iter().all(in_touch));
+    counts.lost += usize::from(forwarded && arrivals.iter().all(in_touch));
     // "A request that crosses your close and is not passed on is not counted."
-    if !passed && end - sent <= CROSSING_MS {
+    if !forwarded && end - sent <= CLOSE_RACE_MS {
         return;
     }
-    // "With no unplanned disturbance from contactMs before the request to its end"; the store's excuse nothing.
+    // "With no unplanned disturbance from contactMs before the request to its end"; disturbances of
+    // the store are no excuse.
     let unplanned = view.disturbed(sent.saturating_sub(CONTACT_MS), end, |part| {
         matches!(
             part,
             Part::Box(_) | Part::Frozen(_) | Part::Cut(_) | Part::Server(_)
         )
     });
-    let grace = GRACE.as_millis() as Ms + AFTER_GRACE_MS;
+    let grace = TERMINATION_GRACE.as_millis() as Ms + AFTER_GRACE_MS;
     let planned = view
         .record
         .troubles
@@ -236,13 +250,13 @@
                 n == entry && trouble.from <= end && sent <= trouble.from + grace
             }
             Part::Settings(n) => {
-                n == entry && trouble.from < end && sent <= trouble.from + APPLY_MS
+                n == entry && trouble.from < end && sent <= trouble.from + CONFIG_APPLY_MS
             }
             _ => false,
         });
     if planned && !unplanned {
-        let what = format!("{id} had no whole answer from box-{entry} around planned work");
+        let detail = format!("{id} had no whole answer from box-{entry} around planned work");
         let rule = Rule::Lost;
-        breaches.push(Breach { rule, what });
+        breaches.push(Breach { rule, detail });
     }
 }
--- a/standin/src/soak/check/mod.rs
+++ b/standin/src/soak/check/mod.rs
@@ -1,7 +1,7 @@
-//! The promises, as pure functions over what was seen.
+//! Checks of the users' rules, as pure functions over the record.
 //!
-//! Each breach names the users' rule. What is excused is what that rule excuses: bounds in time count for
-//! boxes in touch only, and some of them while the store is undisturbed.
+//! Each breach names the users' rule. Only what that rule excuses is excused: time bounds apply to
+//! boxes in touch only, and some of them only while the store is undisturbed.
 
 mod answers;
 mod places;
@@ -10,24 +10,24 @@
 
 use super::record::{Arrival, Attempt, Kind, Ms, Outcome, Part, Record};
 
-/// How long a machine must have been undisturbed for bounds in time to count (`contactMs`).
+/// How long a box must have been undisturbed for time bounds to apply to it (`contactMs`).
 pub const CONTACT_MS: Ms = 5000;
-/// How long a server that leaves may get requests (`drainMs`).
+/// How long a leaving server may still receive requests (`drainMs`).
 pub const DRAIN_MS: Ms = 3000;
-/// How soon a configuration is in force (`configApplyMs`).
-const APPLY_MS: Ms = 3000;
-/// How soon an evacuation is obeyed (`evacMs`).
-const EVACUATE_MS: Ms = 5000;
-/// How soon after the last fault requests are served again (`recoverS`).
+/// Time within which a configuration takes effect (`configApplyMs`).
+const CONFIG_APPLY_MS: Ms = 3000;
+/// Time within which an evacuation takes effect (`evacMs`).
+const EVACUATION_APPLY_MS: Ms = 5000;
+/// Time after the last fault within which requests are served again (`recoverS`).
 const RECOVER_MS: Ms = 12_000;
-/// What of a run after its last fault is watched at least: until boxes are in touch, and some more.
-const TAIL_MS: Ms = CONTACT_MS + 1500;
-/// Requests by which the service after the last fault is judged.
-const SAMPLE: usize = 20;
+/// Minimum time that a run is observed after its last fault: until boxes are in touch, and 1.5 s.
+const MIN_TAIL_MS: Ms = CONTACT_MS + 1500;
+/// Minimum number of requests for a verdict on the service after the last fault.
+const MIN_SAMPLE: usize = 20;
 
-/// The rules that are checked, by the users' names.
+/// The rules that are checked, under the users' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[allow(missing_docs, reason = "the users' page of rules says what each asks")]
+#[allow(missing_docs, reason = "the users' page of rules describes each")]
 pub enum Rule {
     Budget,
     Config,
@@ -47,22 +47,22 @@
     Unasked,
 }
 
-/// A promise that was broken.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which one.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// What was seen.
-    pub what: String,
+    /// What was observed.
+    pub detail: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.rule, self.what)
+        write!(f, "{:?}: {}", self.rule, self.detail)
     }
 }
 
-/// The record, with what several checks look up.
+/// The record with indexes that several checks use.
 struct View<'a> {
     record: &'a Record,
     now: Ms,
@@ -89,15 +89,16 @@
         self.arrivals.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether something of this kind was disturbed at any moment of a span.
-    fn disturbed(&self, from: Ms, until: Ms, is: impl Fn(Part) -> bool) -> bool {
+    /// Reports whether a part that matches was disturbed at any time of a span.
+    fn disturbed(&self, from: Ms, until: Ms, matches: impl Fn(Part) -> bool) -> bool {
         let overlaps =
             |t: &&super::record::Trouble| t.from <= until && t.until.unwrap_or(Ms::MAX) >= from;
         let mut found = self.record.troubles.iter().filter(overlaps);
-        found.any(|trouble| is(trouble.part))
+        found.any(|trouble| matches(trouble.part))
     }
 
-    /// "In touch", (1): no kill, start, SIGTERM, freeze or cut of the box in the time before.
+    /// Reports whether a box is "in touch" (1): no kill, start, SIGTERM, freeze or cut of it within
+    /// `contactMs` before.
     fn in_touch(&self, number: usize, at: Ms) -> bool {
         !self.disturbed(at.saturating_sub(CONTACT_MS), at, |part| match part {
             Part::PlannedStop(n) | Part::Box(n) | Part::Gone(n) => n == number,
@@ -106,15 +107,16 @@
         })
     }
 
-    /// "Core": the store was undisturbed for long enough before a span, and throughout it.
+    /// Reports whether the "core" is stable: the store was undisturbed from `contactMs` before a
+    /// span to its end.
     fn is_core_stable(&self, from: Ms, until: Ms) -> bool {
         !self.disturbed(from.saturating_sub(CONTACT_MS), until, |part| {
             part == Part::Store
         })
     }
 
-    /// Whether whoever sent an arrival was in touch at a moment: the entry box, or any box of the server's region to
-    /// which it may have relayed.
+    /// Reports whether the possible senders of an arrival were in touch at a time: the entry box,
+    /// and for another region all boxes of the server's region, to which it may have relayed.
     fn sender_in_touch(&self, entry: usize, arrival: &Arrival, at: Ms) -> bool {
         let region = self.record.lives[arrival.life].region;
         let regions = self.record.box_regions.iter().enumerate();
@@ -123,15 +125,15 @@
         self.in_touch(entry, at) && (direct || relays.all(|(number, _)| self.in_touch(number, at)))
     }
 
-    /// Whether a backend server was disturbed or ended within a span.
+    /// Reports whether a backend server was disturbed in a span, or had ended before its end.
     fn server_failed(&self, life: usize, from: Ms, until: Ms) -> bool {
         let ended = self.record.lives[life].end.is_some_and(|end| end <= until);
         ended || self.disturbed(from, until, |part| part == Part::Server(life))
     }
 }
 
-/// Every promise that was broken so far.
-pub fn all(record: &Record, now: Ms) -> Vec<Breach> {
+/// Returns all breaches so far.
+pub fn breaches(record: &Record, now: Ms) -> Vec<Breach> {
     let view = View::new(record, now);
     let mut breaches = Vec::new();
     answers::check(&view, &mut breaches);
@@ -141,12 +143,12 @@
     breaches
 }
 
-/// "Fault", more strictly: no process ends by itself, be it disturbed or not.
+/// "Fault", more strictly than the rule: no process ends by itself, whether disturbed or not.
 fn own_ends(view: &View<'_>, breaches: &mut Vec<Breach>) {
     for (number, at, how) in &view.record.own_ends {
         breaches.push(Breach {
             rule: Rule::Fault,
-            what: format!("box-{number} ended by itself at {at} ms: {how}"),
+            detail: format!("box-{number} ended by itself at {at} ms: {how}"),
         });
     }
 }
@@ -158,7 +160,8 @@
     }
 }
 
-/// RECOVER: what is sent later than the bound after the last fault is served, a quarter of it at least.
+/// RECOVER: at least a quarter of the requests sent later than the bound after the last fault is
+/// served.
 fn recovery(view: &View<'_>, breaches: &mut Vec<Breach>) {
     let Some(due) = view.record.calm.map(|calm| calm + RECOVER_MS) else {
         return;
@@ -172,19 +175,20 @@
     let (count, served) = later.fold((0, 0), |(count, served), a| {
         (count + 1, served + usize::from(is_served(a)))
     });
-    // Callers that reach no box send nothing.
+    // Callers that reach no box send no requests, so a count of zero is a breach too.
     let silent = view.now > due + 1500 && count == 0;
-    if silent || (count >= SAMPLE && served * 4 < count) {
+    if silent || (count >= MIN_SAMPLE && served * 4 < count) {
         breaches.push(Breach {
             rule: Rule::Recover,
-            what: "less than a quarter is served long after the last fault".to_owned(),
+            detail: "less than a quarter is served long after the last fault".to_owned(),
         });
     }
 }
 
-/// Whether enough was seen after the last fault: service is back, or its time is long over.
+/// Reports whether a run may end after its last fault: nine tenths of recent requests are served,
+/// or the bound for recovery passed 3 s ago.
 pub fn is_over(record: &Record, calm: Ms, now: Ms) -> bool {
-    if now < calm + TAIL_MS {
+    if now < calm + MIN_TAIL_MS {
         return false;
     }
     let recent = record.attempts.iter().filter(|a| {
@@ -194,5 +198,5 @@
     let (count, served) = recent.fold((0, 0), |(count, served), a| {
         (count + 1, served + usize::from(is_served(a)))
     });
-    now > calm + RECOVER_MS + 3000 || (count >= SAMPLE && served * 10 >= count * 9)
+    now > calm + RECOVER_MS + 3000 || (count >= MIN_SAMPLE && served * 10 >= count * 9)
 }
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -1,4 +1,5 @@
-//! Boxes as processes of the real program, which get signals and nothing else from here.
+//! Boxes as processes of the real program, controlled only by settings files, signals and faults of
+//! the links between them.
 
 use std::{
     collections::BTreeMap,
@@ -19,17 +20,17 @@
 
 use super::{
     REGIONS, domain,
-    record::{Book, Part},
+    record::{Part, Recorder},
 };
 use crate::{http::call, link::Link};
 
-/// How long the platform leaves a process after SIGTERM.
-pub const GRACE: Duration = Duration::from_secs(8);
-const START: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
-const ANSWER: Duration = Duration::from_secs(1);
-/// Connections of the process before may hold a port for a moment.
-const STARTS: usize = 10;
+/// How long the platform waits after SIGTERM before it kills a process.
+pub const TERMINATION_GRACE: Duration = Duration::from_secs(8);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Connections of the previous process may hold a port briefly, so a start is retried.
+const MAX_START_ATTEMPTS: usize = 10;
 
 const LISTENERS: [&str; 7] = [
     "public",
@@ -41,15 +42,16 @@
     "metrics",
 ];
 
-/// Listeners that other boxes reach over a link each.
+/// Listeners that other boxes reach over a separate link.
 const LINKED: [&str; 2] = ["peer", "gossip"];
-/// How long a byte takes over a link.
-const DELAY: Duration = Duration::from_millis(3);
+/// One-way delay of a link.
+const LINK_DELAY: Duration = Duration::from_millis(3);
 
-/// A port of a box, which keeps it over its starts: nobody else is given it while the box is down.
+/// A port reserved for a box across restarts, so that no other process gets it while the box is
+/// down.
 struct Port {
     address: SocketAddr,
-    /// Bound and never listening, so that the box may listen there.
+    /// Bound but never listening, so that the box can listen on the address.
     _holder: TcpSocket,
 }
 
@@ -65,17 +67,17 @@
     }
 }
 
-struct Running {
+struct BoxProcess {
     child: Child,
-    /// Whether it was told to end.
-    told: bool,
-    /// Whether it may still find its ports taken.
+    /// Whether this program has requested its end.
+    stop_requested: bool,
+    /// Whether it may still exit because a port is in use.
     starting: bool,
 }
 
-impl Drop for Running {
+impl Drop for BoxProcess {
     fn drop(&mut self) {
-        // Both do nothing where it has ended and was waited for.
+        // Both have no effect if the process has ended and was waited for.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -84,16 +86,16 @@
 struct Machine {
     region: usize,
     ports: BTreeMap<&'static str, Port>,
-    /// By which other boxes reach it.
+    /// Links over which other boxes reach it, by listener.
     links: BTreeMap<&'static str, Link>,
-    running: Mutex<Option<Running>>,
-    /// The number of its trouble of having no process.
-    gone: Mutex<Option<usize>>,
+    running: Mutex<Option<BoxProcess>>,
+    /// Number of the recorded trouble while the box has no process.
+    downtime: Mutex<Option<usize>>,
 }
 
-/// All boxes; their processes end with it.
+/// All boxes; dropping it kills their processes.
 pub struct Fleet {
-    book: Book,
+    recorder: Recorder,
     program: PathBuf,
     folder: PathBuf,
     store: SocketAddr,
@@ -101,25 +103,25 @@
 }
 
 impl Fleet {
-    /// Starts `count` boxes, in each region in turn, and waits until they take work.
+    /// Starts `count` boxes, assigned to the regions in turn, and waits until they are ready.
     pub async fn start(
-        book: &Book,
+        recorder: &Recorder,
         program: &Path,
         folder: &Path,
         store: SocketAddr,
         count: usize,
     ) -> eyre::Result<Self> {
         let mut fleet = Self {
-            book: book.clone(),
+            recorder: recorder.clone(),
             program: program.to_owned(),
             folder: folder.to_owned(),
             store,
             machines: Vec::new(),
         };
         for number in 0..count {
-            fleet.add(number).await?;
+            fleet.add_box(number).await?;
         }
-        // Each is told of all others, as a platform does that knows all machines.
+        // The seeds of each box are all other boxes, as on a platform that knows all machines.
         for number in 0..count {
             fleet.write_settings(number)?;
             fleet.restart(number).await?;
@@ -127,24 +129,27 @@
         let begin = Instant::now();
         for number in 0..count {
             while !fleet.is_ready(number).await {
-                if begin.elapsed() > START {
-                    bail!("box-{number} is not ready after {} s", START.as_secs());
+                if begin.elapsed() > START_TIMEOUT {
+                    bail!(
+                        "box-{number} is not ready after {} s",
+                        START_TIMEOUT.as_secs()
+                    );
                 }
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         let regions = fleet.machines.iter().map(|m| m.region).collect();
-        book.record().box_regions = regions;
+        recorder.record().box_regions = regions;
         Ok(fleet)
     }
 
-    async fn add(&mut self, number: usize) -> eyre::Result<()> {
+    async fn add_box(&mut self, number: usize) -> eyre::Result<()> {
         let port = |name| Ok((name, Port::reserve()?));
         let ports: eyre::Result<BTreeMap<_, _>> = LISTENERS.into_iter().map(port).collect();
         let ports = ports?;
         let mut links = BTreeMap::new();
         for name in LINKED {
-            let link = Link::start(DELAY).await?;
+            let link = Link::start(LINK_DELAY).await?;
             link.point(ports[name].address);
             links.insert(name, link);
         }
@@ -153,25 +158,25 @@
             ports,
             links,
             running: Mutex::default(),
-            gone: Mutex::default(),
+            downtime: Mutex::default(),
         });
         Ok(())
     }
 
-    fn running(&self, number: usize) -> std::sync::MutexGuard<'_, Option<Running>> {
+    fn running(&self, number: usize) -> std::sync::MutexGuard<'_, Option<BoxProcess>> {
         let running = self.machines[number].running.lock();
         running.expect("the lock is never poisoned")
     }
 
-    fn log(&self, number: usize) -> PathBuf {
+    fn log_path(&self, number: usize) -> PathBuf {
         self.folder.join(format!("box-{number}.log"))
     }
 
-    fn settings(&self, number: usize) -> PathBuf {
+    fn settings_path(&self, number: usize) -> PathBuf {
         self.folder.join(format!("box-{number}.ini"))
     }
 
-    /// Writes the settings of a box anew, with the others as its seeds.
+    /// Writes the settings file of a box, with all other boxes as its seeds.
     pub fn write_settings(&self, number: usize) -> eyre::Result<()> {
         let machine = &self.machines[number];
         let listens: String = machine
@@ -205,17 +210,17 @@
             self.store,
             domains.join(", "),
         );
-        fs::write(self.settings(number), text).wrap_err("cannot write settings")
+        fs::write(self.settings_path(number), text).wrap_err("cannot write the settings of a box")
     }
 
     fn spawn(&self, number: usize) -> eyre::Result<Child> {
         let log = File::options()
             .create(true)
             .append(true)
-            .open(self.log(number))?;
+            .open(self.log_path(number))?;
         Command::new(&self.program)
             .args(["gateway", "--settings"])
-            .arg(self.settings(number))
+            .arg(self.settings_path(number))
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -223,19 +228,23 @@
             .wrap_err_with(|| format!("cannot start {}", self.program.display()))
     }
 
-    /// Where callers and look-ups of a box go, and its region.
-    pub fn doors(&self) -> Vec<Door> {
-        let door = |machine: &Machine| Door {
+    /// Returns the addresses and the region of each box.
+    pub fn endpoints(&self) -> Vec<Endpoints> {
+        let endpoint = |machine: &Machine| Endpoints {
             public: machine.ports["public"].address,
             directory: machine.ports["directory"].address,
             region: machine.region,
         };
-        self.machines.iter().map(door).collect()
+        self.machines.iter().map(endpoint).collect()
     }
 
     async fn is_ready(&self, number: usize) -> bool {
         let address = self.machines[number].ports["ready"].address;
-        let answer = timeout(ANSWER, call(address, Method::GET, "/v1/ready", &[], "")).await;
+        let answer = timeout(
+            PROBE_TIMEOUT,
+            call(address, Method::GET, "/v1/ready", &[], ""),
+        )
+        .await;
         matches!(answer, Ok(Ok(answer)) if answer.status.is_success())
     }
 
@@ -245,36 +254,37 @@
         let Some(running) = running.as_ref() else {
             return Ok(());
         };
-        // The child is not waited for while the lock is held, so the id is still its own.
+        // No one reaps the child while the lock is held, so the process id is still valid.
         let id = running.child.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status()?;
         match sent.success() {
             true => Ok(()),
-            false => Err(eyre!("box-{number} cannot be sent {name}")),
+            false => Err(eyre!("cannot send signal {name} to box-{number}")),
         }
     }
 
-    /// Cuts the links to a box, or mends them.
+    /// Cuts the links to a box, or restores them.
     pub fn cut(&self, number: usize, cut: bool) {
         let links = self.machines[number].links.values();
         links.for_each(|link| link.cut(cut));
     }
 
-    /// Loses `size` bytes of a box's answers to other boxes, after the next `skip` ones.
-    pub fn lose(&self, number: usize, skip: usize, size: usize) {
+    /// Drops `size` bytes of a box's answers to other boxes, after the next `skip` bytes.
+    pub fn drop_bytes(&self, number: usize, skip: usize, size: usize) {
         let links = self.machines[number].links.values();
         links.for_each(|link| link.lose(skip, size));
     }
 
-    /// Notes that a box is to end, whoever ends it.
-    fn tell(&self, number: usize) {
+    /// Marks the end of a box's process as requested.
+    fn mark_stop_requested(&self, number: usize) {
         if let Some(running) = self.running(number).as_mut() {
-            running.told = true;
+            running.stop_requested = true;
         }
     }
 
-    /// Looks whether a box has ended; notes ends that nobody asked for.
-    pub fn look(&self, number: usize) -> bool {
+    /// Reaps the process of a box if it has ended, and records an end that was not requested.
+    /// Reports whether the box has no process.
+    pub fn reap(&self, number: usize) -> bool {
         let mut running = self.running(number);
         let Some(process) = running.as_mut() else {
             return true;
@@ -282,93 +292,93 @@
         let Ok(Some(status)) = process.child.try_wait() else {
             return false;
         };
-        if !process.told && !process.starting {
-            let now = self.book.now();
+        if !process.stop_requested && !process.starting {
+            let now = self.recorder.now();
             let end = (number, now, status.to_string());
-            self.book.record().own_ends.push(end);
+            self.recorder.record().own_ends.push(end);
         }
         *running = None;
-        let mut gone = self.machines[number]
-            .gone
+        let mut downtime = self.machines[number]
+            .downtime
             .lock()
             .expect("the lock is never poisoned");
-        gone.get_or_insert_with(|| self.book.begin(Part::Gone(number)));
+        downtime.get_or_insert_with(|| self.recorder.begin(Part::Gone(number)));
         true
     }
 
-    /// Stops a box as planned, and kills it after the time that it is left.
+    /// Stops a box with SIGTERM, and kills it if it still runs after the grace period.
     pub async fn terminate(&self, number: usize, grace: Duration) -> eyre::Result<()> {
-        self.tell(number);
+        self.mark_stop_requested(number);
         self.signal(number, "TERM")?;
         let begin = Instant::now();
-        while !self.look(number) {
+        while !self.reap(number) {
             if begin.elapsed() > grace {
                 return self.kill(number).await;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Kills a box.
+    /// Kills a box with SIGKILL and waits for its end.
     pub async fn kill(&self, number: usize) -> eyre::Result<()> {
-        self.tell(number);
+        self.mark_stop_requested(number);
         self.signal(number, "KILL")?;
-        while !self.look(number) {
-            sleep(POLL).await;
+        while !self.reap(number) {
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Starts a box again unless it runs.
+    /// Starts a box unless it is running.
     pub async fn restart(&self, number: usize) -> eyre::Result<()> {
-        for _ in 0..STARTS {
-            if !self.look(number) {
+        for _ in 0..MAX_START_ATTEMPTS {
+            if !self.reap(number) {
                 return Ok(());
             }
             {
                 let mut running = self.running(number);
                 if running.is_some() {
-                    // Another step has just started it.
+                    // Another step has started it concurrently.
                     return Ok(());
                 }
-                *running = Some(Running {
+                *running = Some(BoxProcess {
                     child: self.spawn(number)?,
-                    told: false,
+                    stop_requested: false,
                     starting: true,
                 });
             }
-            // It ends at once where a port is still taken.
-            sleep(10 * POLL).await;
-            if !self.look(number) {
+            // The process exits at once if a port is still in use.
+            sleep(10 * POLL_INTERVAL).await;
+            if !self.reap(number) {
                 if let Some(running) = self.running(number).as_mut() {
                     running.starting = false;
                 }
-                let gone = self.machines[number]
-                    .gone
+                let downtime = self.machines[number]
+                    .downtime
                     .lock()
                     .expect("the lock is never poisoned")
                     .take();
-                if let Some(trouble) = gone {
-                    self.book.end(trouble);
+                if let Some(trouble) = downtime {
+                    self.recorder.end(trouble);
                 }
                 return Ok(());
             }
         }
         Err(eyre!(
-            "box-{number} does not start, see {}",
-            self.log(number).display()
+            "box-{number} does not start; see {}",
+            self.log_path(number).display()
         ))
     }
 }
 
-/// Where a box is met.
+/// Addresses and region of a box.
 #[derive(Clone, Copy, Debug)]
-pub struct Door {
-    /// For callers.
+pub struct Endpoints {
+    /// Listener for callers.
     pub public: SocketAddr,
-    /// For look-ups.
+    /// Listener for look-ups.
     pub directory: SocketAddr,
-    /// Its region.
+    /// Number of its region.
     pub region: usize,
 }
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -1,15 +1,16 @@
-//! A randomized soak: boxes as real processes, faults from outside, promises checked while it runs.
+//! Randomized soak test: runs boxes as real processes, injects faults from outside and checks the
+//! platform's rules while it runs.
 //!
 //! | module | what it does |
 //! |---|---|
-//! | [`plan`] | faults at times, from a seed; parts of them, and the search for a smaller one that fails |
-//! | `fleet` | the boxes, as processes |
-//! | `server` | backend servers, each life of them with its record |
-//! | `operator` | the store, and who writes to it |
-//! | `caller` | callers, as the users' pages let them behave |
-//! | [`record`] | what all of them saw |
-//! | [`check`] | the promises, over the record alone |
-//! | `play` | one run |
+//! | [`plan`] | draws a schedule of faults from a seed, selects steps and shrinks a failing plan |
+//! | `fleet` | starts, signals and stops the boxes as processes |
+//! | `server` | backend servers; each start has a record of its own |
+//! | `operator` | the store and its writers: the operator and the backend servers |
+//! | `caller` | callers, within the client behaviour that the users' pages allow |
+//! | [`record`] | the record of everything observed |
+//! | [`check`] | checks the rules against the record alone |
+//! | `play` | executes one run |
 
 mod caller;
 pub mod check;
@@ -33,137 +34,138 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use check::{Breach, Rule};
-use plan::{Part, Size, Step};
-use play::{Setting, play};
+use plan::{Selection, Size, Step};
+use play::{RunConfig, run_steps};
 use record::{Outcome, Record};
 
 const REGIONS: [&str; 3] = ["perth", "bunbury", "geraldton"];
-/// The regions that requests of kind `home` may be served in, by number.
-const HOMES: [usize; 2] = [0, 1];
+/// Region numbers in which requests of kind `home` may be served.
+const HOME_REGIONS: [usize; 2] = [0, 1];
 const HOST: &str = "soak.example";
-/// The most boxes of a run: some tens of processes.
-const BOXES: usize = 30;
+/// Upper bound on boxes in a run, which keeps it to some tens of processes.
+const MAX_BOXES: usize = 30;
 
 fn domain(region: usize) -> String {
     format!("{}-a", REGIONS[region])
 }
 
-/// What the stand-ins do wrong on purpose, so that the checks are seen to find it.
+/// A deliberate fault of the stand-ins, which verifies that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Plant {
-    /// Servers run once what may run once, twice.
+pub enum PlantedFault {
+    /// Servers run requests twice that may run at most once.
     Twice,
-    /// Servers run a request and say that they have not.
+    /// Servers run a request and answer that they have not.
     FalseRefusal,
     /// Servers answer with the answer to another request.
     ForeignAnswer,
-    /// Servers skip an event of each stream.
+    /// Servers omit one event of each stream.
     SkippedEvent,
-    /// Departures are noted, and not written to the store.
+    /// Departures are recorded, but not written to the store.
     UnwrittenLeave,
-    /// Evacuations are noted, and not written.
+    /// Evacuations are recorded, but not written to the store.
     UnwrittenEvacuation,
-    /// Later versions of the configuration are noted, and not written.
+    /// Configuration versions after the first are recorded, but not written to the store.
     UnwrittenVersion,
-    /// Boxes are killed soon after they were told to stop.
+    /// Boxes are killed if they still run 50 ms after SIGTERM.
     ShortGrace,
-    /// Cold servers do not say so.
+    /// Cold servers register as warm.
     HiddenCold,
-    /// All servers say that they stand in the first region.
+    /// All servers register in the first region.
     WrongRegion,
 }
 
-/// How to run it.
+/// Options of a soak run.
 #[derive(Clone, Debug, Args)]
 pub struct Options {
-    /// Draws the plan and what callers send.
+    /// Seed of the plan and of the callers' requests.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seconds over which faults begin; a run takes some 10 to 25 s longer.
+    /// Seconds during which faults begin; a run takes about 10 to 25 s longer.
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Boxes, in three regions in turn.
+    /// Number of boxes, assigned to three regions in turn.
     #[arg(long, default_value_t = 6)]
     pub boxes: usize,
-    /// Callers in each region.
+    /// Number of callers in each region.
     #[arg(long, default_value_t = 6)]
     pub callers: usize,
-    /// The way of speaking; `own` is not built yet.
+    /// Interface of the boxes; `own` is not implemented yet.
     #[arg(long, value_enum, default_value_t = Interface::Platform)]
     pub interface: Interface,
-    /// Prints the plan and plays nothing.
+    /// Prints the plan without running it.
     #[arg(long)]
     pub plan: bool,
-    /// Plays these steps alone, as in `3,5-7`.
+    /// Runs only these steps, as in `3,5-7`.
     #[arg(long)]
-    pub only: Option<Part>,
-    /// Cuts a failing plan down to a part that still fails.
+    pub only: Option<Selection>,
+    /// Shrinks a failing plan to a smaller one that still fails.
     #[arg(long)]
     pub shrink: bool,
-    /// The program of the boxes, built by `cargo build --release --locked`; else the one beside this program.
+    /// Gateway executable, built by `cargo build --release --locked`; default: `petreldrum` beside
+    /// this program.
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Faults of the stand-ins themselves, to see the checks find them.
+    /// Deliberate faults of the stand-ins, to verify that the checks detect them.
     #[arg(long, value_enum)]
-    pub plant: Vec<Plant>,
+    pub plant: Vec<PlantedFault>,
 }
 
-/// A way of speaking.
+/// The interface that the boxes offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Interface {
-    /// That of the users' platform.
+    /// The interface of the users' platform.
     Platform,
-    /// Our own.
+    /// petreldrum's own interface.
     Own,
 }
 
 impl Options {
-    /// The plan, or the part of it that is to be played.
+    /// Returns the steps to run: the whole plan, or those selected by `--only`.
     pub fn steps(&self) -> Vec<Step> {
         let size = Size {
             boxes: self.boxes,
-            servers: play::servers(),
+            servers: play::server_count(),
             regions: REGIONS.len(),
         };
-        let steps = plan::draw(self.seed, self.seconds * 1000, size);
+        let steps = plan::generate(self.seed, self.seconds * 1000, size);
         match &self.only {
-            Some(part) => part.of(&steps),
+            Some(selection) => selection.select(&steps),
             None => steps,
         }
     }
 
-    fn setting(&self, folder: &Path) -> eyre::Result<Setting> {
-        let beside = env::current_exe()?.with_file_name("petreldrum");
-        let program = self.program.clone().unwrap_or(beside);
+    fn run_config(&self, folder: &Path) -> eyre::Result<RunConfig> {
+        let default_program = env::current_exe()?.with_file_name("petreldrum");
+        let program = self.program.clone().unwrap_or(default_program);
         if !program.exists() {
             bail!(
-                "no {}; build it by: cargo build --release --locked",
+                "{} does not exist; build it with: cargo build --release --locked",
                 program.display()
             );
         }
-        Ok(Setting {
+        Ok(RunConfig {
             program,
             folder: folder.to_owned(),
             boxes: self.boxes,
             callers: self.callers,
             seed: self.seed,
             length: self.seconds * 1000,
-            plants: self.plant.clone(),
+            planted_faults: self.plant.clone(),
         })
     }
 
-    /// Plays steps; logs are kept where a promise was broken.
-    pub async fn play(&self, steps: &[Step]) -> eyre::Result<(Record, Vec<Breach>)> {
+    /// Runs the steps and keeps the logs if a rule was broken.
+    pub async fn run_steps(&self, steps: &[Step]) -> eyre::Result<(Record, Vec<Breach>)> {
         if self.interface == Interface::Own {
-            bail!("the soak of our own interface is not built yet");
+            bail!("the soak of petreldrum's own interface is not implemented yet");
         }
-        if !(REGIONS.len()..=BOXES).contains(&self.boxes) {
-            bail!("--boxes is between {} and {BOXES}", REGIONS.len());
+        if !(REGIONS.len()..=MAX_BOXES).contains(&self.boxes) {
+            bail!("--boxes must be between {} and {MAX_BOXES}", REGIONS.len());
         }
         let name = format!("petreldrum-soak-{}-{}", process::id(), self.seed);
         let folder = env::temp_dir().join(name);
-        fs::create_dir_all(&folder).wrap_err("cannot make a folder for logs")?;
-        let (record, breaches) = play(&self.setting(&folder)?, steps)
+        fs::create_dir_all(&folder).wrap_err("cannot create a directory for logs")?;
+        let (record, breaches) = run_steps(&self.run_config(&folder)?, steps)
             .await
             .wrap_err_with(|| format!("logs are in {}", folder.display()))?;
         if breaches.is_empty() {
@@ -176,18 +178,18 @@
     }
 }
 
-/// Runs the soak until it is over or interrupted; an error where a promise was broken.
+/// Runs the soak until it ends or is interrupted; returns an error if a rule was broken.
 pub async fn run(options: Options) -> eyre::Result<()> {
-    // Boxes end with what holds them, also after an interruption.
+    // Returning drops the fleet, which kills the boxes, also after an interruption.
     let mut terminated = signal(SignalKind::terminate())?;
     tokio::select! {
-        done = whole_run(&options) => done,
+        done = run_to_end(&options) => done,
         _ = tokio::signal::ctrl_c() => bail!("interrupted"),
         _ = terminated.recv() => bail!("terminated"),
     }
 }
 
-async fn whole_run(options: &Options) -> eyre::Result<()> {
+async fn run_to_end(options: &Options) -> eyre::Result<()> {
     let steps = options.steps();
     if options.plan {
         for step in &steps {
@@ -195,7 +197,7 @@
         }
         return Ok(());
     }
-    let (record, breaches) = options.play(&steps).await?;
+    let (record, breaches) = options.run_steps(&steps).await?;
     println!("{}", report(options, &steps, &record, &breaches));
     if breaches.is_empty() {
         return Ok(());
@@ -203,29 +205,33 @@
     if options.shrink {
         let rule = breaches[0].rule;
         let rest = plan::shrink(steps, |part| fails(options, part, rule)).await;
-        println!("smallest part found: --only {}", plan::numbers(&rest));
+        println!(
+            "smallest part found: --only {}",
+            plan::format_selection(&rest)
+        );
     }
     bail!(
-        "{} promises were broken with seed {}",
+        "{} rule breaches with seed {}",
         breaches.len(),
         options.seed
     );
 }
 
-/// Whether a part of a plan breaks the same rule; a part that cannot be played does not.
-async fn fails(options: &Options, part: Vec<Step>, rule: Rule) -> bool {
-    println!("trying {}", plan::numbers(&part));
-    match options.play(&part).await {
+/// Reports whether some steps of a plan break the same rule; steps that cannot be run count as
+/// passing.
+async fn fails(options: &Options, steps: Vec<Step>, rule: Rule) -> bool {
+    println!("trying {}", plan::format_selection(&steps));
+    match options.run_steps(&steps).await {
         Ok((_, breaches)) => breaches.iter().any(|b| b.rule == rule),
         Err(error) => {
-            println!("this part could not be played: {error:#}");
+            println!("these steps could not be run: {error:#}");
             false
         }
     }
 }
 
-/// How often attempts ended in which way.
-fn ends(record: &Record) -> BTreeMap<String, usize> {
+/// Counts attempts by the way they ended.
+fn count_ends(record: &Record) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
     for attempt in &record.attempts {
         let name = match &attempt.end {
@@ -249,7 +255,7 @@
         "steps": steps.len(),
         "attempts": record.attempts.len(),
         "served": served.count(),
-        "ends": ends(record),
+        "ends": count_ends(record),
         "arrivals": record.arrivals.len(),
         "look_ups": record.look_ups.len(),
         "broken": lines,
--- a/standin/src/soak/operator.rs
+++ b/standin/src/soak/operator.rs
@@ -1,4 +1,5 @@
-//! The store of the soak and who writes to it: the operator, and backend servers of themselves.
+//! The store of the soak and its writers: the operator, and backend servers that register
+//! themselves.
 
 use std::{
     sync::{
@@ -13,9 +14,9 @@
 use tokio::time::sleep;
 
 use super::{
-    HOMES, HOST, Plant, REGIONS, domain,
+    HOME_REGIONS, HOST, PlantedFault, REGIONS, domain,
     plan::Outage,
-    record::{Book, Evacuation, Version},
+    record::{Evacuation, Recorder, Version},
     server::{SLOTS, Server},
 };
 use crate::{
@@ -23,22 +24,22 @@
     registry::{Fault, Registry},
 };
 
-/// Requests a second that a cold server bears.
-pub const COLD_RATE: f64 = 6.0;
-/// How long a route's requests may take.
-const TIMEOUT_MS: u64 = 3000;
-/// How late a slow store answers.
-const SLOW: Duration = Duration::from_millis(700);
-/// How often a write is tried.
-const RETRY: Duration = Duration::from_millis(50);
-/// Of so many answers, one is lost.
-const LOST: u64 = 3;
-
-/// The store, with faults that its content knows nothing of.
+/// Requests per second that a cold server can take.
+pub const COLD_RATE_PER_S: f64 = 6.0;
+/// Timeout of each route.
+const ROUTE_TIMEOUT_MS: u64 = 3000;
+/// Delay of the answers of a slow store.
+const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(700);
+/// Interval of checks whether the store takes writes.
+const WRITABLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// One answer in this many is lost.
+const LOST_ANSWER_INTERVAL: u64 = 3;
+
+/// The store, with outages that leave its content unchanged.
 #[derive(Clone, Default)]
 pub struct Store {
     registry: Registry,
-    /// The newest outage, and how many are under way.
+    /// The most recent outage, and the number of outages in progress.
     outage: Arc<Mutex<(Option<Outage>, usize)>>,
     calls: Arc<AtomicU64>,
 }
@@ -48,10 +49,10 @@
         let outage = self.outage();
         let call = self.calls.fetch_add(1, Ordering::Relaxed);
         if outage == Some(Outage::Slow) {
-            sleep(SLOW).await;
+            sleep(SLOW_ANSWER_DELAY).await;
         }
         let answer = self.registry.answer(request).await;
-        let lost = outage == Some(Outage::LostAnswers) && call.is_multiple_of(LOST);
+        let lost = outage == Some(Outage::LostAnswers) && call.is_multiple_of(LOST_ANSWER_INTERVAL);
         answer.filter(|_| !lost)
     }
 }
@@ -61,8 +62,8 @@
         self.outage.lock().expect("the lock is never poisoned").0
     }
 
-    /// Misbehaves from now on.
-    pub fn disturb(&self, outage: Outage) {
+    /// Begins an outage; it replaces the effect of one in progress.
+    pub fn begin_outage(&self, outage: Outage) {
         let mut state = self.outage.lock().expect("the lock is never poisoned");
         *state = (Some(outage), state.1 + 1);
         self.registry.set_fault(match outage {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Misbehaves no longer, once this was said for each outage.
-    pub fn mend(&self) {
+    /// Ends an outage; the store works normally after the last one in progress has ended.
+    pub fn end_outage(&self) {
         let mut state = self.outage.lock().expect("the lock is never poisoned");
         state.1 -= 1;
         if state.1 == 0 {
@@ -86,59 +87,68 @@
         }
     }
 
-    /// Waits until it takes what is written; a store that is busy takes the operator's calls.
-    pub async fn takes(&self) {
+    /// Waits until the store takes writes. A busy store still takes those of the operator.
+    pub async fn wait_until_writable(&self) {
         while matches!(
             self.outage(),
             Some(Outage::Silent | Outage::Lapse | Outage::Reset)
         ) {
-            sleep(RETRY).await;
+            sleep(WRITABLE_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Who writes to the store.
+/// Writes configurations, evacuations and the entries of backend servers to the store.
 #[derive(Clone)]
 pub struct Operator {
-    /// Where it writes.
+    /// The store that it writes to.
     pub store: Store,
-    book: Book,
-    plants: Arc<Vec<Plant>>,
+    recorder: Recorder,
+    planted_faults: Arc<Vec<PlantedFault>>,
 }
 
 impl Operator {
-    /// One that has written nothing yet.
-    pub fn new(book: &Book, plants: &[Plant]) -> Self {
+    /// Creates an operator with an empty store.
+    pub fn new(recorder: &Recorder, planted_faults: &[PlantedFault]) -> Self {
         Self {
             store: Store::default(),
-            book: book.clone(),
-            plants: Arc::new(plants.to_vec()),
+            recorder: recorder.clone(),
+            planted_faults: Arc::new(planted_faults.to_vec()),
         }
     }
 
-    /// Writes the next version; each has a route that no other has.
-    pub fn configure(&self) {
-        let last = self.book.record().versions.last().map_or(0, |v| v.number);
+    /// Writes the next configuration version; each version has a route that no other has.
+    pub fn write_next_version(&self) {
+        let last = self
+            .recorder
+            .record()
+            .versions
+            .last()
+            .map_or(0, |v| v.number);
         let number = last + 1 + last % 3;
         let content = configuration(number);
-        if last == 0 || !self.plants.contains(&Plant::UnwrittenVersion) {
+        if last == 0
+            || !self
+                .planted_faults
+                .contains(&PlantedFault::UnwrittenVersion)
+        {
             self.store.registry.put("op/config", &content);
         }
-        let at = self.book.now();
-        self.book.record().versions.push(Version { number, at });
+        let at = self.recorder.now();
+        self.recorder.record().versions.push(Version { number, at });
     }
 
-    /// Writes a server's entry.
+    /// Writes the entry of a backend server.
     pub fn register(&self, server: &Server, draining: bool) {
-        let hidden = self.plants.contains(&Plant::HiddenCold);
+        let hidden = self.planted_faults.contains(&PlantedFault::HiddenCold);
         let cold = if hidden { 0 } else { server.cold_left() };
-        let quiet = draining && self.plants.contains(&Plant::UnwrittenLeave);
-        let state = if draining && !quiet {
+        let unwritten = draining && self.planted_faults.contains(&PlantedFault::UnwrittenLeave);
+        let state = if draining && !unwritten {
             "draining"
         } else {
             "ready"
         };
-        let region = if self.plants.contains(&Plant::WrongRegion) {
+        let region = if self.planted_faults.contains(&PlantedFault::WrongRegion) {
             0
         } else {
             server.region
@@ -150,35 +160,39 @@
         });
         let key = format!("servers/{}", server.name);
         self.store.registry.put(&key, &content);
-        self.note_leave(server, draining);
+        self.record_departure(server, draining);
     }
 
-    /// Takes a server's entry out; `lapsed` where the server lives and writes it again soon.
+    /// Removes the entry of a backend server; `lapsed` if the server still runs and registers
+    /// again soon.
     pub fn unregister(&self, server: &Server, lapsed: bool) {
         let key = format!("servers/{}", server.name);
         self.store.registry.remove(&key);
         if !lapsed {
-            self.note_leave(server, true);
+            self.record_departure(server, true);
         }
     }
 
-    fn note_leave(&self, server: &Server, leaves: bool) {
-        let now = self.book.now();
-        let mut record = self.book.record();
+    fn record_departure(&self, server: &Server, leaves: bool) {
+        let now = self.recorder.now();
+        let mut record = self.recorder.record();
         let life = &mut record.lives[server.life];
         if leaves {
             life.leaves.get_or_insert(now);
         }
     }
 
-    /// Evacuates a region's failure domain; its number takes it back.
+    /// Evacuates a region's failure domain and returns the number that ends the evacuation.
     pub fn evacuate(&self, region: usize) -> usize {
-        if !self.plants.contains(&Plant::UnwrittenEvacuation) {
+        if !self
+            .planted_faults
+            .contains(&PlantedFault::UnwrittenEvacuation)
+        {
             let key = format!("op/evacuate/{}", domain(region));
             self.store.registry.put(&key, &json!({}));
         }
-        let from = self.book.now();
-        let mut record = self.book.record();
+        let from = self.recorder.now();
+        let mut record = self.recorder.record();
         record.evacuations.push(Evacuation {
             region,
             from,
@@ -187,10 +201,10 @@
         record.evacuations.len() - 1
     }
 
-    /// Takes an evacuation back; its key stays while another one of the same domain is in force.
-    pub fn take_back(&self, number: usize) {
-        let now = self.book.now();
-        let mut record = self.book.record();
+    /// Ends an evacuation; its key stays while another evacuation of the same domain is in force.
+    pub fn end_evacuation(&self, number: usize) {
+        let now = self.recorder.now();
+        let mut record = self.recorder.record();
         let region = record.evacuations[number].region;
         record.evacuations[number].until = Some(now);
         let open = |e: &Evacuation| e.region == region && e.until.is_none();
@@ -207,14 +221,14 @@
     let route = |prefix: &str, kind: &str, service: &str, homes: &[&str]| {
         json!({
             "name": format!("r-{prefix}"), "host": HOST, "pathPrefix": format!("/{prefix}/"),
-            "kind": kind, "timeoutMs": TIMEOUT_MS, "targetLatencyMs": 800, "priority": 0,
+            "kind": kind, "timeoutMs": ROUTE_TIMEOUT_MS, "targetLatencyMs": 800, "priority": 0,
             "service": service, "maxAttempts": 2, "resumable": kind == "streaming",
             "gapAimMs": 600, "homeRegions": homes,
         })
     };
-    let homes: Vec<&str> = HOMES.iter().map(|region| REGIONS[*region]).collect();
+    let homes: Vec<&str> = HOME_REGIONS.iter().map(|region| REGIONS[*region]).collect();
     let service =
-        |name: &str| json!({ "name": name, "healthPath": "/health", "coldPerS": COLD_RATE });
+        |name: &str| json!({ "name": name, "healthPath": "/health", "coldPerS": COLD_RATE_PER_S });
     json!({
         "version": number,
         "tenants": [],
--- a/standin/src/soak/play.rs
+++ b/standin/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! One run: boxes, servers, callers, and the steps of a plan at their times.
+//! Executes one run: boxes, backend servers, callers, and the steps of a plan at their times.
 
 use std::{
     net::SocketAddr,
@@ -16,112 +16,112 @@
 };
 
 use super::{
-    Plant, REGIONS,
+    PlantedFault, REGIONS,
     caller::Caller,
     check::{self, Breach},
-    fleet::{Fleet, GRACE},
+    fleet::{Fleet, TERMINATION_GRACE},
     operator::Operator,
     plan::{Departure, Fault, Outage, Step},
-    record::{Book, Ms, Part, Record},
-    server::{Birth, Server},
+    record::{Ms, Part, Record, Recorder},
+    server::{Server, ServerOptions},
 };
 use crate::http;
 
-/// Servers of the main service in each region; one of the other service stands beside them.
-const SERVERS: usize = 2;
-/// How long a server serves after it has said that it leaves, and a while.
-const DRAIN: Duration = Duration::from_millis(check::DRAIN_MS + 2000);
-/// How long the entry of a crashed server stays.
-const LAPSE: Duration = Duration::from_millis(900);
-/// How soon after an end an address may be given to another server.
-const REUSE: Duration = Duration::from_secs(2);
-/// How long a server that starts later is cold.
-const COLD: Ms = 4000;
-/// What a planted fault leaves a box of its planned stop.
-const SHORT: Duration = Duration::from_millis(50);
-/// Breaches of one rule that are told; more of them say no more.
-const TOLD: usize = 5;
-/// Time between two losses of bytes.
-const LOSS_PAUSE: Duration = Duration::from_millis(150);
-/// How often the promises are checked.
-const LOOK: Duration = Duration::from_secs(1);
+/// Backend servers of the main service in each region, which also has one of the other service.
+const SERVERS_PER_REGION: usize = 2;
+/// How long a server keeps serving after it announced its departure: the drain time and 2 s more.
+const DRAIN_TIME: Duration = Duration::from_millis(check::DRAIN_MS + 2000);
+/// How long the entry of a crashed server stays in the store.
+const CRASHED_ENTRY_TTL: Duration = Duration::from_millis(900);
+/// Time from a server's end until its address may be given to another server.
+const ADDRESS_REUSE_DELAY: Duration = Duration::from_secs(2);
+/// How long a server is cold that starts during the run.
+const COLD_MS: Ms = 4000;
+/// Grace period of a planned stop under [`PlantedFault::ShortGrace`].
+const SHORT_GRACE: Duration = Duration::from_millis(50);
+/// Reported breaches of one rule; further ones add no information.
+const MAX_REPORTED_PER_RULE: usize = 5;
+/// Time between two drops of bytes.
+const LOSS_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval of the checks of the rules.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Backend servers of a run; the steps of a plan name them by number.
-pub const fn servers() -> usize {
-    REGIONS.len() * (SERVERS + 1)
+/// Returns the number of backend servers in a run; the steps of a plan refer to them by number.
+pub const fn server_count() -> usize {
+    REGIONS.len() * (SERVERS_PER_REGION + 1)
 }
 
-/// What one run is made of.
+/// Parameters of one run.
 #[derive(Clone)]
-pub struct Setting {
-    /// The program of the boxes.
+pub struct RunConfig {
+    /// Gateway executable.
     pub program: PathBuf,
-    /// Where settings and logs are.
+    /// Directory of settings and logs.
     pub folder: PathBuf,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Callers in each region.
+    /// Number of callers in each region.
     pub callers: usize,
-    /// Of callers.
+    /// Seed of the callers' random choices.
     pub seed: u64,
-    /// The shortest time that traffic lasts.
+    /// Minimum duration of traffic.
     pub length: Ms,
-    /// What the stand-ins do wrong on purpose.
-    pub plants: Vec<Plant>,
+    /// Deliberate faults of the stand-ins.
+    pub planted_faults: Vec<PlantedFault>,
 }
 
-struct World {
-    book: Book,
+struct Run {
+    recorder: Recorder,
     operator: Operator,
     fleet: Fleet,
-    places: Vec<Mutex<Server>>,
-    plants: Vec<Plant>,
-    lives: Mutex<u64>,
+    server_slots: Vec<Mutex<Server>>,
+    planted_faults: Vec<PlantedFault>,
+    servers_started: Mutex<u64>,
 }
 
-/// Plays the steps; what was seen, and the promises that were broken.
-pub async fn play(setting: &Setting, steps: &[Step]) -> eyre::Result<(Record, Vec<Breach>)> {
-    let world = Arc::new(World::start(setting).await?);
+/// Runs the steps; returns the record and the breaches of rules.
+pub async fn run_steps(config: &RunConfig, steps: &[Step]) -> eyre::Result<(Record, Vec<Breach>)> {
+    let run = Arc::new(Run::start(config).await?);
     let stop = Arc::new(AtomicBool::new(false));
-    let doors = Arc::new(world.fleet.doors());
+    let endpoints = Arc::new(run.fleet.endpoints());
     let mut callers = JoinSet::new();
-    for number in 0..setting.callers * REGIONS.len() {
-        let caller = Caller::new(&world.book, doors.clone(), setting.seed, number);
+    for number in 0..config.callers * REGIONS.len() {
+        let caller = Caller::new(&run.recorder, endpoints.clone(), config.seed, number);
         callers.spawn(caller.run(stop.clone()));
     }
-    let begin = world.book.now();
+    let begin = run.recorder.now();
     let mut tasks = JoinSet::new();
     for step in steps.iter().copied() {
-        let world = world.clone();
+        let run = run.clone();
         tasks.spawn(async move {
             sleep(Duration::from_millis(step.at)).await;
             println!(
                 "{:6} ms  {:3}  {}",
-                world.book.now(),
+                run.recorder.now(),
                 step.number,
                 step.fault
             );
-            world.perform(step.fault).await
+            run.inject(step.fault).await
         });
     }
     let mut breaches = Vec::new();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         while let Some(done) = tasks.try_join_next() {
             done??;
         }
-        for number in 0..setting.boxes {
-            world.fleet.look(number);
+        for number in 0..config.boxes {
+            run.fleet.reap(number);
         }
-        let now = world.book.now();
-        if tasks.is_empty() && now > begin + setting.length {
-            let calm = world.book.record().calm;
-            world.book.record().calm = calm.or(Some(now));
+        let now = run.recorder.now();
+        if tasks.is_empty() && now > begin + config.length {
+            let calm = run.recorder.record().calm;
+            run.recorder.record().calm = calm.or(Some(now));
         }
-        let record = world.book.record().clone();
-        for breach in check::all(&record, now) {
-            let like = breaches.iter().filter(|b: &&Breach| b.rule == breach.rule);
-            if like.count() < TOLD && !breaches.contains(&breach) {
+        let record = run.recorder.record().clone();
+        for breach in check::breaches(&record, now) {
+            let same_rule = breaches.iter().filter(|b: &&Breach| b.rule == breach.rule);
+            if same_rule.count() < MAX_REPORTED_PER_RULE && !breaches.contains(&breach) {
                 println!("{now:6} ms  BROKEN {breach}");
                 breaches.push(breach);
             }
@@ -135,236 +135,265 @@
     }
     stop.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    let record = world.book.record().clone();
+    let record = run.recorder.record().clone();
     Ok((record, breaches))
 }
 
-impl World {
-    async fn start(setting: &Setting) -> eyre::Result<Self> {
-        let book = Book::default();
-        let operator = Operator::new(&book, &setting.plants);
-        operator.configure();
+impl Run {
+    async fn start(config: &RunConfig) -> eyre::Result<Self> {
+        let recorder = Recorder::default();
+        let operator = Operator::new(&recorder, &config.planted_faults);
+        operator.write_next_version();
         let store = http::start(operator.store.clone()).await?;
-        let mut places = Vec::new();
-        let lives = Mutex::new(0);
-        for number in 0..servers() {
-            let (region, other) = (number % REGIONS.len(), number / REGIONS.len() == SERVERS);
-            let birth = birth(&lives, region, other, &setting.plants);
-            let server = Server::start(&book, Birth { cold: 0, ..birth }).await?;
+        let mut server_slots = Vec::new();
+        let servers_started = Mutex::new(0);
+        for number in 0..server_count() {
+            let (region, other) = (
+                number % REGIONS.len(),
+                number / REGIONS.len() == SERVERS_PER_REGION,
+            );
+            let options = server_options(&servers_started, region, other, &config.planted_faults);
+            let server = Server::start(&recorder, ServerOptions { cold: 0, ..options }).await?;
             operator.register(&server, false);
-            places.push(Mutex::new(server));
+            server_slots.push(Mutex::new(server));
         }
-        let (program, folder): (&Path, &Path) = (&setting.program, &setting.folder);
-        let fleet = Fleet::start(&book, program, folder, store, setting.boxes).await?;
+        let (program, folder): (&Path, &Path) = (&config.program, &config.folder);
+        let fleet = Fleet::start(&recorder, program, folder, store, config.boxes).await?;
         Ok(Self {
-            book,
+            recorder,
             operator,
             fleet,
-            places,
-            plants: setting.plants.clone(),
-            lives,
+            server_slots,
+            planted_faults: config.planted_faults.clone(),
+            servers_started,
         })
     }
 
     fn server(&self, number: usize) -> Server {
-        let place = self.places[number].lock();
-        place.expect("the lock is never poisoned").clone()
+        let server = self.server_slots[number].lock();
+        server.expect("the lock is never poisoned").clone()
     }
 
-    async fn perform(&self, fault: Fault) -> eyre::Result<()> {
+    async fn inject(&self, fault: Fault) -> eyre::Result<()> {
         match fault {
-            Fault::Terminate(target, back) => {
-                let trouble = self.book.begin(Part::PlannedStop(target));
-                let short = self.plants.contains(&Plant::ShortGrace);
-                let grace = if short { SHORT } else { GRACE };
+            Fault::Terminate(target, restart_delay) => {
+                let trouble = self.recorder.begin(Part::PlannedStop(target));
+                let short = self.planted_faults.contains(&PlantedFault::ShortGrace);
+                let grace = if short {
+                    SHORT_GRACE
+                } else {
+                    TERMINATION_GRACE
+                };
                 self.fleet.terminate(target, grace).await?;
-                self.bring_back(target, back, trouble).await
+                self.restart_after(target, restart_delay, trouble).await
             }
-            Fault::Kill(target, back) => {
-                let trouble = self.book.begin(Part::Box(target));
+            Fault::Kill(target, restart_delay) => {
+                let trouble = self.recorder.begin(Part::Box(target));
                 self.fleet.kill(target).await?;
-                self.bring_back(target, back, trouble).await
+                self.restart_after(target, restart_delay, trouble).await
             }
             Fault::Freeze(target, span) => {
-                let trouble = self.book.begin(Part::Frozen(target));
+                let trouble = self.recorder.begin(Part::Frozen(target));
                 self.fleet.signal(target, "STOP")?;
                 sleep(Duration::from_millis(span)).await;
                 self.fleet.signal(target, "CONT")?;
-                self.book.end(trouble);
+                self.recorder.end(trouble);
                 Ok(())
             }
             Fault::Cut(target, span) => {
-                let trouble = self.book.begin(Part::Cut(target));
+                let trouble = self.recorder.begin(Part::Cut(target));
                 self.fleet.cut(target, true);
                 sleep(Duration::from_millis(span)).await;
                 self.fleet.cut(target, false);
-                self.book.end(trouble);
+                self.recorder.end(trouble);
                 Ok(())
             }
             Fault::Gaps(target, span) => {
-                let trouble = self.book.begin(Part::Cut(target));
-                self.lose(target, span).await;
-                self.book.end(trouble);
+                let trouble = self.recorder.begin(Part::Cut(target));
+                self.drop_bytes(target, span).await;
+                self.recorder.end(trouble);
                 Ok(())
             }
             Fault::Settings(target, signal) => {
-                let trouble = self.book.begin(Part::Settings(target));
+                let trouble = self.recorder.begin(Part::Settings(target));
                 self.fleet.write_settings(target)?;
                 if signal {
                     self.fleet.signal(target, "HUP")?;
                 }
-                self.book.end(trouble);
+                self.recorder.end(trouble);
                 Ok(())
             }
             Fault::Store(outage, span) => {
-                self.disturb_store(outage, span).await;
+                self.run_outage(outage, span).await;
                 Ok(())
             }
-            Fault::Depart(server, how, back) => self.depart(server, how, back).await,
-            Fault::Ill(number, how, span) => {
+            Fault::Depart(server, how, restart_delay) => {
+                self.depart(server, how, restart_delay).await
+            }
+            Fault::Malfunction(number, how, span) => {
                 let server = self.server(number);
-                let trouble = self.book.begin(server.part());
-                server.fall_ill(Some(how));
+                let trouble = self.recorder.begin(server.part());
+                server.set_malfunction(Some(how));
                 sleep(Duration::from_millis(span)).await;
-                server.fall_ill(None);
-                self.book.end(trouble);
+                server.set_malfunction(None);
+                self.recorder.end(trouble);
                 Ok(())
             }
             Fault::Configure => {
-                self.operator.store.takes().await;
-                self.operator.configure();
+                self.operator.store.wait_until_writable().await;
+                self.operator.write_next_version();
                 Ok(())
             }
             Fault::Evacuate(region, span) => {
-                self.operator.store.takes().await;
+                self.operator.store.wait_until_writable().await;
                 let number = self.operator.evacuate(region);
                 sleep(Duration::from_millis(span)).await;
-                self.operator.store.takes().await;
-                self.operator.take_back(number);
+                self.operator.store.wait_until_writable().await;
+                self.operator.end_evacuation(number);
                 Ok(())
             }
         }
     }
 
-    /// Loses bytes of a box's answers again and again, a few or many, in heads and in bodies.
-    async fn lose(&self, target: usize, span: Ms) {
+    /// Drops bytes of a box's answers repeatedly, at varying offsets and in varying numbers, so
+    /// that both heads and bodies are hit.
+    async fn drop_bytes(&self, target: usize, span: Ms) {
         let end = Instant::now() + Duration::from_millis(span);
         for turn in (1..).take_while(|_| Instant::now() < end) {
             self.fleet
-                .lose(target, turn * 61 % 1500, turn * 29 % 300 + 1);
-            sleep(LOSS_PAUSE).await;
+                .drop_bytes(target, turn * 61 % 1500, turn * 29 % 300 + 1);
+            sleep(LOSS_INTERVAL).await;
         }
-        self.fleet.lose(target, 0, 0);
+        self.fleet.drop_bytes(target, 0, 0);
     }
 
-    async fn bring_back(&self, target: usize, back: Ms, trouble: usize) -> eyre::Result<()> {
-        sleep(Duration::from_millis(back)).await;
+    async fn restart_after(
+        &self,
+        target: usize,
+        restart_delay: Ms,
+        trouble: usize,
+    ) -> eyre::Result<()> {
+        sleep(Duration::from_millis(restart_delay)).await;
         self.fleet.restart(target).await?;
-        self.book.end(trouble);
+        self.recorder.end(trouble);
         Ok(())
     }
 
-    async fn disturb_store(&self, outage: Outage, span: Ms) {
-        let trouble = self.book.begin(Part::Store);
-        self.operator.store.disturb(outage);
-        let living: Vec<Server> = (0..self.places.len()).map(|n| self.server(n)).collect();
+    async fn run_outage(&self, outage: Outage, span: Ms) {
+        let trouble = self.recorder.begin(Part::Store);
+        self.operator.store.begin_outage(outage);
+        let registered: Vec<Server> = (0..self.server_slots.len())
+            .map(|n| self.server(n))
+            .collect();
         if outage == Outage::Lapse {
-            for server in &living {
+            for server in &registered {
                 self.operator.unregister(server, true);
             }
         }
         sleep(Duration::from_millis(span)).await;
-        self.operator.store.mend();
+        self.operator.store.end_outage();
         if outage == Outage::Lapse {
-            for server in &living {
-                let life = self.book.record().lives[server.life].clone();
+            for server in &registered {
+                let life = self.recorder.record().lives[server.life].clone();
                 if life.leaves.is_none() && life.end.is_none() {
                     self.operator.register(server, false);
                 }
             }
         }
-        self.book.end(trouble);
+        self.recorder.end(trouble);
     }
 
-    async fn depart(&self, number: usize, how: Departure, back: Ms) -> eyre::Result<()> {
+    async fn depart(&self, number: usize, how: Departure, restart_delay: Ms) -> eyre::Result<()> {
         let server = self.server(number);
-        if self.book.record().lives[server.life].leaves.is_some() {
-            // Another step has taken it away.
+        if self.recorder.record().lives[server.life].leaves.is_some() {
+            // Another step has already made it leave.
             return Ok(());
         }
         match how {
             Departure::Announced => {
-                self.operator.store.takes().await;
+                self.operator.store.wait_until_writable().await;
                 self.operator.register(&server, true);
                 server.drain();
-                sleep(DRAIN).await;
+                sleep(DRAIN_TIME).await;
                 server.finish().await;
                 self.operator.unregister(&server, false);
             }
             Departure::Unannounced => {
                 self.operator.unregister(&server, false);
-                sleep(DRAIN).await;
+                sleep(DRAIN_TIME).await;
                 server.finish().await;
             }
             Departure::Crash | Departure::AddressReused => {
-                let trouble = self.book.begin(server.part());
+                let trouble = self.recorder.begin(server.part());
                 server.crash();
-                sleep(LAPSE).await;
+                sleep(CRASHED_ENTRY_TTL).await;
                 self.operator.unregister(&server, false);
-                self.book.end(trouble);
+                self.recorder.end(trouble);
             }
         }
         if how == Departure::AddressReused {
-            sleep(REUSE.saturating_sub(LAPSE)).await;
-            self.reuse(server.address, server.region, !server.other, back)
+            sleep(ADDRESS_REUSE_DELAY.saturating_sub(CRASHED_ENTRY_TTL)).await;
+            self.reuse_address(server.address, server.region, !server.other, restart_delay)
                 .await?;
         } else {
-            sleep(Duration::from_millis(back)).await;
+            sleep(Duration::from_millis(restart_delay)).await;
         }
-        let birth = birth(&self.lives, server.region, server.other, &self.plants);
-        self.operator.store.takes().await;
-        let next = Server::start(&self.book, birth).await?;
-        self.operator.register(&next, false);
-        *self.places[number]
+        let options = server_options(
+            &self.servers_started,
+            server.region,
+            server.other,
+            &self.planted_faults,
+        );
+        self.operator.store.wait_until_writable().await;
+        let successor = Server::start(&self.recorder, options).await?;
+        self.operator.register(&successor, false);
+        *self.server_slots[number]
             .lock()
-            .expect("the lock is never poisoned") = next;
+            .expect("the lock is never poisoned") = successor;
         Ok(())
     }
 
-    /// A server of the other service takes an address for a while, and leaves as planned.
-    async fn reuse(
+    /// Runs a server of the other service on a used address for a while; it then leaves as planned.
+    async fn reuse_address(
         &self,
         address: SocketAddr,
         region: usize,
         other: bool,
         span: Ms,
     ) -> eyre::Result<()> {
-        let birth = birth(&self.lives, region, other, &self.plants);
+        let options = server_options(&self.servers_started, region, other, &self.planted_faults);
         let address = Some(address);
-        let Ok(guest) = Server::start(&self.book, Birth { address, ..birth }).await else {
-            println!("an address could not be used again: it is taken");
+        let Ok(temporary) =
+            Server::start(&self.recorder, ServerOptions { address, ..options }).await
+        else {
+            println!("an address could not be reused: it is in use");
             return Ok(());
         };
-        self.operator.register(&guest, false);
+        self.operator.register(&temporary, false);
         sleep(Duration::from_millis(span)).await;
-        self.operator.register(&guest, true);
-        guest.drain();
-        sleep(DRAIN).await;
-        guest.finish().await;
-        self.operator.unregister(&guest, false);
+        self.operator.register(&temporary, true);
+        temporary.drain();
+        sleep(DRAIN_TIME).await;
+        temporary.finish().await;
+        self.operator.unregister(&temporary, false);
         Ok(())
     }
 }
 
-fn birth(lives: &Mutex<u64>, region: usize, other: bool, plants: &[Plant]) -> Birth {
-    let mut lives = lives.lock().expect("the lock is never poisoned");
-    *lives += 1;
-    Birth {
-        name: format!("i-{lives}"),
+fn server_options(
+    servers_started: &Mutex<u64>,
+    region: usize,
+    other: bool,
+    planted_faults: &[PlantedFault],
+) -> ServerOptions {
+    let mut servers_started = servers_started.lock().expect("the lock is never poisoned");
+    *servers_started += 1;
+    ServerOptions {
+        name: format!("i-{servers_started}"),
         region,
         other,
-        cold: COLD,
+        cold: COLD_MS,
         address: None,
-        plants: plants.to_vec(),
+        planted_faults: planted_faults.to_vec(),
     }
 }
--- a/standin/src/soak/record.rs
+++ b/standin/src/soak/record.rs
@@ -1,4 +1,5 @@
-//! What callers, backend servers and the operator saw; the promises are checked against it alone.
+//! Record of what callers, backend servers and the operator observed; the rules are checked against
+//! it alone.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -8,31 +9,31 @@
 /// Milliseconds since the run began.
 pub type Ms = u64;
 
-/// What a path promises.
+/// The kind of a request, which its path determines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// May be repeated.
+    /// May be retried.
     Safe,
     /// Runs at most once.
     Once,
     /// A stream that may be continued elsewhere.
     Stream,
-    /// May be repeated, in its home regions only.
+    /// May be retried, but only in its home regions.
     Home,
-    /// May be repeated, by the other service.
+    /// May be retried; served by the other service.
     Other,
-    /// Stands in one version of the configuration only.
+    /// Its route exists in one version of the configuration only.
     Versioned(u64),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The box never got it.
+    /// The caller did not send it to a box.
     Unsent,
     /// The connection ended without an answer.
     Closed,
-    /// The caller's time was over.
+    /// The caller's timeout expired.
     GaveUp,
     /// An answer began.
     Answer(Answer),
@@ -43,118 +44,118 @@
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The mark of the server that ran it.
+    /// The signature of the server that ran it.
     pub signature: Option<String>,
-    /// The body, as far as it came.
+    /// The part of the body that was received.
     pub body: String,
-    /// Whether it appeared to be complete.
+    /// Whether it ended without an error.
     pub whole: bool,
 }
 
-/// One attempt of a caller; each has an id of its own.
+/// One attempt of a caller; each has a unique id.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// Its request id.
     pub id: String,
-    /// What it asks for.
+    /// The kind of request.
     pub kind: Kind,
-    /// The box that takes it.
+    /// Number of the box that it is sent to.
     pub entry: usize,
-    /// When it was written.
+    /// When it was sent.
     pub sent: Ms,
     /// When and how it ended.
     pub end: Option<(Ms, Outcome)>,
 }
 
-/// A request as it came to a backend server.
+/// A request as received by a backend server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its own number, which the mark of its answer bears.
+    /// Its number, which is part of the signature of its answer.
     pub number: usize,
-    /// Its id.
+    /// Its request id.
     pub id: String,
-    /// The life of the server; a number into [`Record::lives`].
+    /// The life of the server, as an index into [`Record::lives`].
     pub life: usize,
-    /// When it came.
+    /// When it was received.
     pub at: Ms,
-    /// Whether its path and body are those that the id stands for.
+    /// Whether its path and body match its id.
     pub intact: bool,
-    /// Whether it was meant for another server, and told so.
+    /// Whether its `target-instance` header named another server, so that it was refused with 421.
     pub misdirected: bool,
-    /// How often it began to run.
+    /// How often the server began to run it.
     pub runs: u32,
-    /// The status that the server gave.
+    /// The status that the server answered with; zero before it answers.
     pub status: u16,
 }
 
-/// One life of a backend server.
+/// One life of a backend server, from its start to its end.
 #[derive(Clone, Debug)]
 pub struct Life {
     /// Its name.
     pub name: String,
-    /// Its region.
+    /// Number of its region.
     pub region: usize,
-    /// Whether it is of the other service.
+    /// Whether it belongs to the other service.
     pub other: bool,
-    /// Its start.
+    /// When it started.
     pub start: Ms,
-    /// Until when it is cold.
+    /// When it stops being cold.
     pub cold_until: Ms,
-    /// When the store took that it leaves, or that it is gone.
+    /// When its departure was written to the store, announced or as the removal of its entry.
     pub leaves: Option<Ms>,
     /// When it ended.
     pub end: Option<Ms>,
 }
 
-/// What was disturbed.
+/// The part of the system that a disturbance affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// A box, by a planned stop.
+    /// A box that was stopped as planned.
     PlannedStop(usize),
-    /// A box, killed and started again.
+    /// A box that was killed and restarted.
     Box(usize),
-    /// A box that stands still.
+    /// A box that is suspended.
     Frozen(usize),
-    /// A box that others do not reach.
+    /// A box whose links to other boxes are cut or lose bytes.
     Cut(usize),
     /// A box without a process.
     Gone(usize),
-    /// A box, by a signal that its settings changed.
+    /// A box whose settings were rewritten, with or without SIGHUP.
     Settings(usize),
     /// The store.
     Store,
-    /// A life of a backend server.
+    /// A life of a backend server, by index.
     Server(usize),
 }
 
-/// A disturbance; one that lasts has no end yet.
+/// A disturbance of a part of the system.
 #[derive(Clone, Copy, Debug)]
 pub struct Trouble {
-    /// What is disturbed.
+    /// The part that is disturbed.
     pub part: Part,
-    /// Its begin.
+    /// When it began.
     pub from: Ms,
-    /// Its end.
+    /// When it ended; none while it lasts.
     pub until: Option<Ms>,
 }
 
 /// A version of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Version {
-    /// Its number.
+    /// Its version number.
     pub number: u64,
-    /// When the store took it.
+    /// When it was written to the store.
     pub at: Ms,
 }
 
 /// An evacuation of a region's one failure domain.
 #[derive(Clone, Copy, Debug)]
 pub struct Evacuation {
-    /// The region.
+    /// Number of the region.
     pub region: usize,
-    /// When the store took it.
+    /// When it was written to the store.
     pub from: Ms,
-    /// When it was taken back.
+    /// When it was withdrawn; none while it is in force.
     pub until: Option<Ms>,
 }
 
@@ -163,18 +164,18 @@
 pub struct LookUp {
     /// The box that answered.
     pub by: usize,
-    /// When.
+    /// When the answer was received.
     pub at: Ms,
-    /// The boxes that it names.
+    /// Numbers of the boxes that it names.
     pub named: Vec<usize>,
 }
 
-/// All that was seen.
+/// Everything observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// Attempts of callers.
     pub attempts: Vec<Attempt>,
-    /// Requests at backend servers.
+    /// Requests received by backend servers.
     pub arrivals: Vec<Arrival>,
     /// Lives of backend servers.
     pub lives: Vec<Life>,
@@ -188,20 +189,21 @@
     pub look_ups: Vec<LookUp>,
     /// The region of each box.
     pub box_regions: Vec<usize>,
-    /// Boxes that ended by themselves, when, and how.
+    /// Boxes whose process ended without a request: number, time and exit status.
     pub own_ends: Vec<(usize, Ms, String)>,
-    /// When the last fault was over.
+    /// When the last fault had ended and the minimum duration had passed.
     pub calm: Option<Ms>,
 }
 
-/// The record while it is written, whose time begins with it; clones share it.
+/// Writes the record of a run and holds its clock, which starts when it is created. Clones share
+/// the record.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct Recorder {
     start: Instant,
     record: Arc<Mutex<Record>>,
 }
 
-impl Default for Book {
+impl Default for Recorder {
     fn default() -> Self {
         Self {
             start: Instant::now(),
@@ -210,18 +212,18 @@
     }
 }
 
-impl Book {
-    /// The time now.
+impl Recorder {
+    /// Returns the time since the run began.
     pub fn now(&self) -> Ms {
         self.start.elapsed().as_millis() as Ms
     }
 
-    /// The record, to write or to read.
+    /// Locks the record for reading or writing.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         self.record.lock().expect("the lock is never poisoned")
     }
 
-    /// Notes that a disturbance begins; its number ends it.
+    /// Records the begin of a disturbance and returns the number that ends it.
     pub fn begin(&self, part: Part) -> usize {
         let from = self.now();
         let mut record = self.record();
@@ -233,7 +235,7 @@
         record.troubles.len() - 1
     }
 
-    /// Notes that a disturbance is over.
+    /// Records the end of a disturbance.
     pub fn end(&self, number: usize) {
         let now = self.now();
         self.record().troubles[number].until = Some(now);
--- a/standin/src/soak/server.rs
+++ b/standin/src/soak/server.rs
@@ -1,4 +1,5 @@
-//! Backend servers of the soak: each start is a life of its own, with a name, a port and a record.
+//! Backend servers of the soak; each start is a separate life with its own name, address and
+//! record.
 
 use std::{
     net::SocketAddr,
@@ -23,63 +24,63 @@
 };
 
 use super::{
-    Plant,
-    plan::Illness,
-    record::{Arrival, Book, Kind, Life, Ms, Part},
+    PlantedFault,
+    plan::Malfunction,
+    record::{Arrival, Kind, Life, Ms, Part, Recorder},
 };
 use crate::{
     http::{Body, stream, whole},
     script::EVENT_STREAM,
 };
 
-/// Events of a whole stream.
+/// Events of a complete stream.
 pub const EVENTS: u32 = 10;
-/// Requests that a server runs at once.
+/// Requests that a server runs concurrently.
 pub const SLOTS: usize = 8;
 /// Requests that may wait for a slot.
-const WAITING: usize = 16;
-const WORK: Duration = Duration::from_millis(20);
-const SLOW_WORK: Duration = Duration::from_millis(600);
+const MAX_WAITING: usize = 16;
+const WORK_TIME: Duration = Duration::from_millis(20);
+const SLOW_WORK_TIME: Duration = Duration::from_millis(600);
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// Events of an unframed stream that breaks off, before the half one.
+/// Complete events of an unframed stream before it breaks off inside the next one.
 const BREAK_AFTER: u32 = 4;
-/// How long the connections of such streams outlast their server, to bring the half event.
-const LAST_BYTES: Duration = Duration::from_millis(100);
-/// How long a server that ends leaves its running requests.
-const LAST_WORK: Duration = Duration::from_millis(1500);
+/// How long connections with an unframed stream outlast their server, to send the incomplete event.
+const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a server that ends waits for its running requests.
+const LAST_WORK_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How a life begins.
-pub struct Birth {
+/// Parameters of a new backend server.
+pub struct ServerOptions {
     /// Its name.
     pub name: String,
-    /// Its region.
+    /// Number of its region.
     pub region: usize,
-    /// Whether it is of the other service.
+    /// Whether it belongs to the other service.
     pub other: bool,
-    /// How long it is cold.
+    /// How long it is cold after its start.
     pub cold: Ms,
-    /// An address that was used before; none for a fresh port.
+    /// Address to reuse; none for a new port.
     pub address: Option<SocketAddr>,
-    /// What it does wrong on purpose.
-    pub plants: Vec<Plant>,
+    /// Deliberate faults of the server.
+    pub planted_faults: Vec<PlantedFault>,
 }
 
 /// A life of a backend server; clones share it.
 #[derive(Clone)]
 pub struct Server {
-    /// Its number in the record.
+    /// Its index in the record's lives.
     pub life: usize,
     /// Its name.
     pub name: String,
-    /// Its region.
+    /// Number of its region.
     pub region: usize,
-    /// Whether it is of the other service.
+    /// Whether it belongs to the other service.
     pub other: bool,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    book: Book,
-    plants: Arc<Vec<Plant>>,
-    illness: Arc<Mutex<Option<Illness>>>,
+    recorder: Recorder,
+    planted_faults: Arc<Vec<PlantedFault>>,
+    malfunction: Arc<Mutex<Option<Malfunction>>>,
     cold_until: Ms,
     draining: watch::Sender<bool>,
     end: watch::Sender<bool>,
@@ -89,18 +90,18 @@
 }
 
 impl Server {
-    /// Starts a life.
-    pub async fn start(book: &Book, birth: Birth) -> eyre::Result<Self> {
+    /// Starts a server and records its life.
+    pub async fn start(recorder: &Recorder, options: ServerOptions) -> eyre::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listener = TcpListener::bind(birth.address.unwrap_or(any)).await?;
-        let now = book.now();
-        let cold_until = now + birth.cold;
+        let listener = TcpListener::bind(options.address.unwrap_or(any)).await?;
+        let now = recorder.now();
+        let cold_until = now + options.cold;
         let life = {
-            let mut record = book.record();
+            let mut record = recorder.record();
             record.lives.push(Life {
-                name: birth.name.clone(),
-                region: birth.region,
-                other: birth.other,
+                name: options.name.clone(),
+                region: options.region,
+                other: options.other,
                 start: now,
                 cold_until,
                 leaves: None,
@@ -110,13 +111,13 @@
         };
         let server = Self {
             life,
-            name: birth.name,
-            region: birth.region,
-            other: birth.other,
+            name: options.name,
+            region: options.region,
+            other: options.other,
             address: listener.local_addr()?,
-            book: book.clone(),
-            plants: Arc::new(birth.plants),
-            illness: Arc::default(),
+            recorder: recorder.clone(),
+            planted_faults: Arc::new(options.planted_faults),
+            malfunction: Arc::default(),
             cold_until,
             draining: watch::Sender::new(false),
             end: watch::Sender::new(false),
@@ -128,39 +129,39 @@
         Ok(server)
     }
 
-    /// How long it is still cold.
+    /// Returns the remaining time for which it is cold.
     pub fn cold_left(&self) -> Ms {
-        self.cold_until.saturating_sub(self.book.now())
+        self.cold_until.saturating_sub(self.recorder.now())
     }
 
-    /// Gets things wrong from now on, or no longer.
-    pub fn fall_ill(&self, illness: Option<Illness>) {
-        *self.illness.lock().expect("the lock is never poisoned") = illness;
+    /// Begins a malfunction, or ends it with `None`.
+    pub fn set_malfunction(&self, malfunction: Option<Malfunction>) {
+        *self.malfunction.lock().expect("the lock is never poisoned") = malfunction;
     }
 
-    /// Its health check says from now on that it leaves.
+    /// Makes its health check answer 503 from now on.
     pub fn drain(&self) {
         self.draining.send_replace(true);
     }
 
-    /// Ends at once.
+    /// Ends the server at once.
     pub fn crash(&self) {
-        let now = self.book.now();
-        let mut record = self.book.record();
+        let now = self.recorder.now();
+        let mut record = self.recorder.record();
         record.lives[self.life].end.get_or_insert(now);
         drop(record);
         self.end.send_replace(true);
     }
 
-    /// Ends when its running requests are done, or soon anyway.
+    /// Ends the server when its running requests are done, but after 1.5 s at the latest.
     pub async fn finish(&self) {
         let all = self.slots.acquire_many(SLOTS as u32);
-        let _ = timeout(LAST_WORK, all).await;
+        let _ = timeout(LAST_WORK_TIMEOUT, all).await;
         self.crash();
     }
 
-    fn has(&self, plant: Plant) -> bool {
-        self.plants.contains(&plant)
+    fn has_planted(&self, plant: PlantedFault) -> bool {
+        self.planted_faults.contains(&plant)
     }
 
     async fn listen(self, listener: TcpListener) {
@@ -170,34 +171,34 @@
                 accepted = listener.accept() => accepted,
                 _ = end.wait_for(|end| *end) => return,
             };
-            if let Ok((channel, _)) = accepted {
-                tokio::spawn(self.clone().serve(channel));
+            if let Ok((socket, _)) = accepted {
+                tokio::spawn(self.clone().serve(socket));
             }
         }
     }
 
-    async fn serve(self, channel: TcpStream) {
-        let _ = channel.set_nodelay(true);
+    async fn serve(self, socket: TcpStream) {
+        let _ = socket.set_nodelay(true);
         let mut end = self.end.subscribe();
         let unframed = AtomicBool::new(false);
         let handler = service_fn(|request| self.answer(request, &unframed));
-        let served = server::Builder::new().serve_connection(TokioIo::new(channel), handler);
+        let served = server::Builder::new().serve_connection(TokioIo::new(socket), handler);
         tokio::pin!(served);
         let ended = tokio::select! {
             _ = &mut served => false,
             _ = end.wait_for(|end| *end) => true,
         };
         if ended && unframed.load(Ordering::Relaxed) {
-            let _ = timeout(LAST_BYTES, served).await;
+            let _ = timeout(LAST_BYTES_TIMEOUT, served).await;
         }
     }
 
-    fn illness(&self) -> Option<Illness> {
-        *self.illness.lock().expect("the lock is never poisoned")
+    fn malfunction(&self) -> Option<Malfunction> {
+        *self.malfunction.lock().expect("the lock is never poisoned")
     }
 
-    /// Answers one request; `is_unframed` is whether the connection's answer has neither a length nor
-    /// chunks.
+    /// Answers one request, and sets `is_unframed` if a stream has neither a length nor chunked
+    /// framing.
     async fn answer(
         &self,
         request: Request<Incoming>,
@@ -211,9 +212,9 @@
             let value = head.headers.get(name).and_then(|v| v.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        let illness = self.illness();
+        let malfunction = self.malfunction();
         if path == "/health" {
-            return self.health(illness).await;
+            return self.health(malfunction).await;
         }
         let id = text("request-id");
         if id.is_empty() {
@@ -221,40 +222,42 @@
         }
         let target = text("target-instance");
         let misdirected = !target.is_empty() && target != self.name;
-        let arrival = self.note(&id, misdirected, &path, &body);
+        let arrival = self.record_arrival(&id, misdirected, &path, &body);
         if misdirected {
             return Ok(self.refusal(arrival, 421));
         }
-        if illness == Some(Illness::Dark) {
+        if malfunction == Some(Malfunction::Dark) {
             return std::future::pending().await;
         }
-        if illness == Some(Illness::Full) || self.waiting.load(Ordering::Relaxed) >= WAITING {
+        if malfunction == Some(Malfunction::Full)
+            || self.waiting.load(Ordering::Relaxed) >= MAX_WAITING
+        {
             return Ok(self.refusal(arrival, 503));
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let waits = Waits(self.waiting.clone());
+        let waiting_guard = WaitingGuard(self.waiting.clone());
         let slot = self.slots.clone().acquire_owned().await;
-        drop(waits);
+        drop(waiting_guard);
         let slot = slot.map_err(std::io::Error::other)?;
-        let kind = kind_of(&path);
-        let runs = 1 + u32::from(self.has(Plant::Twice) && kind == Some(Kind::Once));
-        self.book.record().arrivals[arrival].runs += runs;
-        if illness == Some(Illness::Slow) {
-            sleep(SLOW_WORK).await;
+        let kind = kind_of_path(&path);
+        let runs = 1 + u32::from(self.has_planted(PlantedFault::Twice) && kind == Some(Kind::Once));
+        self.recorder.record().arrivals[arrival].runs += runs;
+        if malfunction == Some(Malfunction::Slow) {
+            sleep(SLOW_WORK_TIME).await;
         }
-        if self.has(Plant::FalseRefusal) && kind == Some(Kind::Once) {
+        if self.has_planted(PlantedFault::FalseRefusal) && kind == Some(Kind::Once) {
             return Ok(self.refusal(arrival, 503));
         }
         let turn = self.answers.fetch_add(1, Ordering::Relaxed);
-        if illness == Some(Illness::Lying) && turn.is_multiple_of(2) {
-            self.book.record().arrivals[arrival].status = 500;
+        if malfunction == Some(Malfunction::Lying) && turn.is_multiple_of(2) {
+            self.recorder.record().arrivals[arrival].status = 500;
             let failed = whole(StatusCode::INTERNAL_SERVER_ERROR, "failed");
             return Ok(self.signed(failed, &id, arrival));
         }
-        self.book.record().arrivals[arrival].status = 200;
+        self.recorder.record().arrivals[arrival].status = 200;
         if kind == Some(Kind::Stream) {
             let last = text("last-event-id").parse().unwrap_or(0);
-            let unframed = illness == Some(Illness::Unframed);
+            let unframed = malfunction == Some(Malfunction::Unframed);
             is_unframed.store(unframed, Ordering::Relaxed);
             let end = match unframed && turn.is_multiple_of(2) {
                 true => EVENTS.min(last + BREAK_AFTER),
@@ -262,23 +265,23 @@
             };
             let mut answer = self.events(last, end, unframed, slot);
             if unframed {
-                // The library then writes neither a length nor chunks.
+                // For HTTP/1.0, hyper writes neither a length nor chunks.
                 *answer.version_mut() = Version::HTTP_10;
             }
             return Ok(self.signed(answer, &id, arrival));
         }
-        sleep(WORK).await;
-        let foreign = self.has(Plant::ForeignAnswer) && kind == Some(Kind::Safe);
+        sleep(WORK_TIME).await;
+        let foreign = self.has_planted(PlantedFault::ForeignAnswer) && kind == Some(Kind::Safe);
         let content = if foreign {
-            body_of(&self.name, "another")
+            response_body(&self.name, "another")
         } else {
-            body_of(&self.name, &id)
+            response_body(&self.name, &id)
         };
         Ok(self.signed(whole(StatusCode::OK, content), &id, arrival))
     }
 
-    async fn health(&self, illness: Option<Illness>) -> std::io::Result<Response<Body>> {
-        if illness == Some(Illness::Dark) {
+    async fn health(&self, malfunction: Option<Malfunction>) -> std::io::Result<Response<Body>> {
+        if malfunction == Some(Malfunction::Dark) {
             return std::future::pending().await;
         }
         let status = match *self.draining.borrow() {
@@ -287,16 +290,16 @@
         };
         let mut answer = whole(status, "");
         let headers = answer.headers_mut();
-        headers.insert("served-by", value(&self.name));
+        headers.insert("served-by", header_value(&self.name));
         headers.insert("cold-ms", HeaderValue::from(self.cold_left()));
         Ok(answer)
     }
 
-    fn note(&self, id: &str, misdirected: bool, path: &str, body: &Bytes) -> usize {
-        let at = self.book.now();
-        let mut record = self.book.record();
-        // What the caller meant stands in the id, which no box changes.
-        let intact = **body == *asked(id).as_bytes() && path == path_of_id(id);
+    fn record_arrival(&self, id: &str, misdirected: bool, path: &str, body: &Bytes) -> usize {
+        let at = self.recorder.now();
+        let mut record = self.recorder.record();
+        // The id, which no box changes, determines the path and body that the caller sent.
+        let intact = **body == *request_body(id).as_bytes() && path == path_for_id(id);
         let number = record.arrivals.len();
         record.arrivals.push(Arrival {
             number,
@@ -312,24 +315,27 @@
     }
 
     fn refusal(&self, arrival: usize, status: u16) -> Response<Body> {
-        self.book.record().arrivals[arrival].status = status;
-        let status = StatusCode::from_u16(status).expect("a status");
+        self.recorder.record().arrivals[arrival].status = status;
+        let status = StatusCode::from_u16(status).expect("the status is a valid HTTP status");
         let mut answer = whole(status, "");
         let headers = answer.headers_mut();
         headers.insert("not-executed", HeaderValue::from_static("1"));
-        headers.insert("served-by", value(&self.name));
+        headers.insert("served-by", header_value(&self.name));
         answer
     }
 
     fn signed(&self, mut answer: Response<Body>, id: &str, arrival: usize) -> Response<Body> {
         let headers = answer.headers_mut();
-        headers.insert("request-id", value(id));
-        headers.insert("response-signature", value(&signature(&self.name, arrival)));
+        headers.insert("request-id", header_value(id));
+        headers.insert(
+            "response-signature",
+            header_value(&signature(&self.name, arrival)),
+        );
         answer
     }
 
-    /// Streams the events after `last` up to `end`; an unframed stream that is not whole ends
-    /// inside the next one.
+    /// Streams the events after `last` up to `end`; an incomplete unframed stream ends inside the
+    /// next event.
     fn events(
         &self,
         last: u32,
@@ -338,12 +344,14 @@
         slot: tokio::sync::OwnedSemaphorePermit,
     ) -> Response<Body> {
         let (sender, receiver) = mpsc::channel(1);
-        let skipped = self.has(Plant::SkippedEvent).then_some(EVENTS / 2);
+        let skipped = self
+            .has_planted(PlantedFault::SkippedEvent)
+            .then_some(EVENTS / 2);
         let name = self.name.clone();
         let mut crash = self.end.subscribe();
         tokio::spawn(async move {
             let _slot = slot;
-            let (mut made, mut crashed) = (last, false);
+            let (mut last_sent, mut crashed) = (last, false);
             for number in (last + 1..=end).filter(|n| Some(*n) != skipped) {
                 let event = format!("id: {number}\ndata: {name}\n\n");
                 tokio::select! {
@@ -353,14 +361,14 @@
                         break;
                     }
                 }
-                made = number;
+                last_sent = number;
                 sleep(EVENT_PAUSE).await;
             }
-            if unframed && made < EVENTS {
-                let half = format!("id: {}\nda", made + 1);
+            if unframed && last_sent < EVENTS {
+                let half = format!("id: {}\nda", last_sent + 1);
                 let _ = sender.send(Ok(Bytes::from(half))).await;
             } else if crashed {
-                // Without an error the library would write the last chunk.
+                // Without an error, hyper would write the last chunk.
                 let _ = sender.send(Err(std::io::Error::other("crashed"))).await;
             }
         });
@@ -370,47 +378,47 @@
         answer
     }
 
-    /// What of the record is disturbed while it gets things wrong.
+    /// Returns the part that a disturbance of this server affects.
     pub fn part(&self) -> Part {
         Part::Server(self.life)
     }
 }
 
-struct Waits(Arc<AtomicUsize>);
+struct WaitingGuard(Arc<AtomicUsize>);
 
-impl Drop for Waits {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn value(text: &str) -> HeaderValue {
-    HeaderValue::from_str(text).expect("names are plain text")
+fn header_value(text: &str) -> HeaderValue {
+    HeaderValue::from_str(text).expect("names are valid header values")
 }
 
-/// The mark of a server's run.
+/// Returns the signature of a server for one arrival.
 pub fn signature(server: &str, arrival: usize) -> String {
     format!("{server}/{arrival}")
 }
 
-/// A server's answer.
-pub fn body_of(server: &str, id: &str) -> String {
+/// Returns the body of a server's answer.
+pub fn response_body(server: &str, id: &str) -> String {
     format!("{server} has run {id}")
 }
 
-/// A caller's request body.
-pub fn asked(id: &str) -> String {
+/// Returns the body of a caller's request.
+pub fn request_body(id: &str) -> String {
     format!("please run {id}")
 }
 
-/// The path of a request, whose id begins with its first piece.
-pub fn path_of_id(id: &str) -> String {
-    let piece = id.split('-').next().unwrap_or_default();
-    format!("/{piece}/x")
+/// Returns the path of a request, whose id begins with the path's first segment.
+pub fn path_for_id(id: &str) -> String {
+    let segment = id.split('-').next().unwrap_or_default();
+    format!("/{segment}/x")
 }
 
-/// The first piece of a kind's paths.
-pub fn piece_of(kind: Kind) -> String {
+/// Returns the first segment of the paths of a kind.
+pub fn path_prefix(kind: Kind) -> String {
     match kind {
         Kind::Safe => "safe".to_owned(),
         Kind::Once => "once".to_owned(),
@@ -421,7 +429,7 @@
     }
 }
 
-fn kind_of(path: &str) -> Option<Kind> {
+fn kind_of_path(path: &str) -> Option<Kind> {
     let kinds = [
         Kind::Safe,
         Kind::Once,
@@ -429,6 +437,6 @@
         Kind::Home,
         Kind::Other,
     ];
-    let piece = path.split('/').nth(1).unwrap_or_default();
-    kinds.into_iter().find(|kind| piece_of(*kind) == piece)
+    let segment = path.split('/').nth(1).unwrap_or_default();
+    kinds.into_iter().find(|kind| path_prefix(*kind) == segment)
 }
