--- a/src/allotment.rs
+++ b/src/allotment.rs
@@ -24,7 +24,7 @@
     id::Customer,
     memory::prompt::Prompt,
     unit::{Millis, Rate, Time},
-    wire::{Short, Use},
+    wire::{NameHash, Use},
 };
 
 /// Part of the platform's slack that widens the burst. At one half, 12 in 1,000 requests are
@@ -185,25 +185,25 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Knowledge {
     /// Use was reported by other boxes.
-    Heard {
+    Reported {
         /// The sum of the reported use.
         others: Sum,
         /// The part of the allotment that this box and the reporting boxes may use together.
         part: f64,
     },
     /// No reports are received, and the allotment is shared by this many boxes.
-    Alone(usize),
+    Isolated(usize),
 }
 
 impl fmt::Display for Knowledge {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Heard { others, part } => write!(
+            Self::Reported { others, part } => write!(
                 f,
                 "others_used={:.0} others_offered={:.0} part={part:.2}",
                 others.used, others.offered
             ),
-            Self::Alone(boxes) => write!(f, "alone among={boxes}"),
+            Self::Isolated(boxes) => write!(f, "alone among={boxes}"),
         }
     }
 }
@@ -274,13 +274,13 @@
         let account = self.account(customer, allotment, now);
         account.sum.offered += cost;
         let (used, offered, limit) = match others_use {
-            Knowledge::Heard { others, part } => (
+            Knowledge::Reported { others, part } => (
                 account.sum.used + others.used,
                 account.sum.offered + others.offered,
                 limit * part,
             ),
             // Without reports, the whole cost of the request must fit into this box's share.
-            Knowledge::Alone(boxes) => {
+            Knowledge::Isolated(boxes) => {
                 let limit = limit * ISOLATED_SHARE / boxes.max(1) as f64;
                 (account.sum.used + cost, account.sum.used + cost, limit)
             }
@@ -328,7 +328,7 @@
     }
 
     /// Refunds a booking made at `booked`, for a request that certainly did not run.
-    pub fn give_back(&mut self, customer: &Customer, cost: f64, booked: Time) {
+    pub fn refund(&mut self, customer: &Customer, cost: f64, booked: Time) {
         if let Some(account) = self.accounts.get_mut(customer) {
             let factor = account.decay_factor(account.updated.since(booked));
             account.sum.used = (account.sum.used - cost * factor).max(0.0);
@@ -359,11 +359,11 @@
     }
 
     /// Returns the use to report to other boxes, sorted by customer.
-    pub fn told(&self, now: Time) -> Vec<Use> {
+    pub fn to_report(&self, now: Time) -> Vec<Use> {
         let report = |(customer, account): (&Customer, &Account)| {
             let sum = account.sum_at(now);
             let use_of_customer = Use {
-                customer: Short::of(customer.as_str()),
+                customer: NameHash::of(customer.as_str()),
                 used: sum.used.round() as u32,
                 offered: sum.offered.round() as u32,
             };
--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 
 use crate::{
-    cmd::{INVALID, REFUSED, UNKNOWN, call::Admin},
+    cmd::{EXIT_INVALID, EXIT_REFUSED, EXIT_UNKNOWN, call::Admin},
     config::{Config, Envelope, Version},
     gateway::admin::{AUTHOR, Change, IF_MATCH},
 };
@@ -120,7 +120,7 @@
         .header(&envelope.version.to_string(), &name)
         .to_string();
     print!("{rendered}");
-    let code = if rendered.is_empty() { 0 } else { REFUSED };
+    let code = if rendered.is_empty() { 0 } else { EXIT_REFUSED };
     Ok(ExitCode::from(code))
 }
 
@@ -145,21 +145,21 @@
             eprintln!(
                 "conflict: {version} by {author} stands; run `config get`, merge and put again"
             );
-            REFUSED
+            EXIT_REFUSED
         }
         Change::Invalid { faults } => {
             for fault in faults {
                 eprintln!("{}: {fault}", file.display());
             }
-            INVALID
+            EXIT_INVALID
         }
         Change::Unknown { write } => {
             eprintln!("unknown: the store did not confirm write {write}; check with `config get`");
-            UNKNOWN
+            EXIT_UNKNOWN
         }
         Change::Unavailable { reason } => {
             eprintln!("not written: {reason}");
-            REFUSED
+            EXIT_REFUSED
         }
     }
 }
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -77,7 +77,7 @@
             () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
         match Settings::load(&path) {
-            Ok(settings) if signalled || reloader.is_news(&settings) => reloader.reload(settings),
+            Ok(settings) if signalled || reloader.differs(&settings) => reloader.reload(settings),
             Ok(_) => {}
             Err(error) => {
                 log::error!("settings: reload failed, current ones stay in use: {error:#}")
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -18,11 +18,11 @@
 use crate::ini::Faults;
 
 /// Exit code for a conflict, a refusal or any other failure.
-pub const REFUSED: u8 = 1;
+pub const EXIT_REFUSED: u8 = 1;
 /// Exit code for invalid settings, configuration or arguments.
-pub const INVALID: u8 = 2;
+pub const EXIT_INVALID: u8 = 2;
 /// Exit code for a write whose outcome is unknown.
-pub const UNKNOWN: u8 = 3;
+pub const EXIT_UNKNOWN: u8 = 3;
 
 /// A multi-region inference gateway.
 ///
@@ -67,7 +67,7 @@
         result.unwrap_or_else(|error| {
             eprintln!("petreldrum: {error:#}");
             let invalid = error.downcast_ref::<Faults>().is_some();
-            ExitCode::from(if invalid { INVALID } else { REFUSED })
+            ExitCode::from(if invalid { EXIT_INVALID } else { EXIT_REFUSED })
         })
     }
 }
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -16,7 +16,7 @@
     },
     id::{Release, Service},
     reducer::{
-        order::Ask,
+        order::Request,
         status::{Rollout, Status},
     },
     rollout::Standing,
@@ -80,7 +80,7 @@
             within,
             author,
         } => {
-            let request = Ask {
+            let request = Request {
                 service,
                 release,
                 within,
@@ -119,15 +119,15 @@
         }
         Outcome::Refused { reason } => {
             eprintln!("refused: {reason}");
-            super::REFUSED
+            super::EXIT_REFUSED
         }
         Outcome::Unknown => {
             eprintln!("unknown: the store did not confirm the write; check with `rollout show`");
-            super::UNKNOWN
+            super::EXIT_UNKNOWN
         }
         Outcome::Unavailable { reason } => {
             eprintln!("not written: {reason}");
-            super::REFUSED
+            super::EXIT_REFUSED
         }
     }))
 }
@@ -146,7 +146,7 @@
         rows.iter().for_each(print);
     }
     let missing = service.is_some() && rows.is_empty();
-    Ok(ExitCode::from(u8::from(missing) * super::REFUSED))
+    Ok(ExitCode::from(u8::from(missing) * super::EXIT_REFUSED))
 }
 
 fn print(row: &Rollout) {
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -9,7 +9,7 @@
 
 use eyre::WrapErr;
 
-use crate::{cmd::REFUSED, story::Story};
+use crate::{cmd::EXIT_REFUSED, story::Story};
 
 /// Print the log lines of a request from the logs of several boxes, ordered by time.
 ///
@@ -54,7 +54,7 @@
         println!("{} {source} {}", line.time, line.text);
     }
     Ok(match lines.is_empty() {
-        true => ExitCode::from(REFUSED),
+        true => ExitCode::from(EXIT_REFUSED),
         false => ExitCode::SUCCESS,
     })
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -27,13 +27,13 @@
     id::{self, Domain, Incarnation, Region, Service},
     memory::Engine,
     unit::{Millis, Rate},
-    wire::Short,
+    wire::NameHash,
 };
 
 pub use headers::Headers;
 pub use label::{Labels, Matcher};
 pub use record::{Envelope, Parcel, Record};
-pub use route::{Ask, Plan, Refusal};
+pub use route::{Plan, Query, Refusal};
 
 /// The version number of an accepted configuration; it only increases.
 #[derive(
@@ -147,7 +147,7 @@
 
 impl Customer {
     /// Returns the customer for requests without an API key, which has no limits.
-    pub fn anybody() -> Self {
+    pub fn anonymous() -> Self {
         Self {
             name: ANONYMOUS_CUSTOMER.parse().expect("the name is valid"),
             keys: vec![],
@@ -203,13 +203,13 @@
     pub shares: Vec<Share>,
     /// Whether a request that is not repeatable needs an idempotency key. If not, each send counts
     /// as a separate request.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// Maximum number of attempts for one request.
     pub attempts: u32,
     /// Limit on the total duration of a request, including its whole answer.
-    pub hold: Option<Millis>,
+    pub max_duration: Option<Millis>,
     /// Target time for the beginning of an answer.
-    pub target: Option<Millis>,
+    pub target_latency: Option<Millis>,
     /// Default priority of its requests in the queues; 0 is the most urgent.
     pub priority: u8,
     /// Streaming settings; `None` if answers do not stream.
@@ -307,10 +307,10 @@
 impl Backend {
     /// Returns a short hash of name and incarnation, which changes when the server restarts.
     /// Without an incarnation it is the hash of the name alone.
-    pub fn life(&self) -> Short {
+    pub fn life(&self) -> NameHash {
         match self.incarnation {
-            Some(incarnation) => Short::of(&format!("{} {incarnation}", self.name)),
-            None => Short::of(self.name.as_str()),
+            Some(incarnation) => NameHash::of(&format!("{} {incarnation}", self.name)),
+            None => NameHash::of(self.name.as_str()),
         }
     }
 }
@@ -367,9 +367,9 @@
     index: route::Index,
 }
 
-/// The parts of a configuration from which [`Draft::finish`] builds it.
+/// The parts of a configuration from which [`Builder::build`] builds it.
 #[derive(Debug, Default)]
-pub struct Draft {
+pub struct Builder {
     /// Version number of the configuration.
     pub version: Version,
     /// Random id of the write that stored the configuration.
@@ -396,9 +396,9 @@
     pub awaiting: HashSet<id::Backend>,
 }
 
-impl Draft {
+impl Builder {
     /// Sorts the routes, builds the look-up indexes and returns the configuration.
-    pub fn finish(self) -> Config {
+    pub fn build(self) -> Config {
         let mut routes = self.routes;
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         let keys = self
@@ -426,12 +426,12 @@
 
 impl Config {
     /// Reports whether any customer has an allotment.
-    pub fn is_limited(&self) -> bool {
+    pub fn has_allotments(&self) -> bool {
         self.customers.values().any(|c| c.allotment.is_some())
     }
 
     /// Reports whether any customer has an API key.
-    pub fn has_keys(&self) -> bool {
+    pub fn has_api_keys(&self) -> bool {
         !self.keys.is_empty()
     }
 
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -6,7 +6,7 @@
 use crate::{
     allotment::{Allotment, Unit},
     config::{
-        Backend, Config, Customer, Draft, Envelope, Headers, Kind, LOWEST_PRIORITY, Model,
+        Backend, Builder, Config, Customer, Envelope, Headers, Kind, LOWEST_PRIORITY, Model,
         RegionEntry, Route, Selector, Share, Stream, Weights,
     },
     id::{self, Region, Service},
@@ -40,7 +40,7 @@
 }
 
 fn read(reader: &mut Reader, envelope: &Envelope) -> Option<Config> {
-    let mut draft = Draft::default();
+    let mut draft = Builder::default();
     for name in reader.sections() {
         read_section(reader, &name, &mut draft);
     }
@@ -53,12 +53,12 @@
     }
     draft.version = envelope.version;
     draft.write = envelope.write.clone();
-    Some(draft.finish())
+    Some(draft.build())
 }
 
 /// Adds the customer that requests without an API key on open routes are attributed to.
-fn add_anonymous_customer(reader: &mut Reader, draft: &mut Draft) {
-    let anonymous = Customer::anybody();
+fn add_anonymous_customer(reader: &mut Reader, draft: &mut Builder) {
+    let anonymous = Customer::anonymous();
     let name = anonymous.name.clone();
     if draft.customers.contains_key(&name) {
         let section = customer_section_title(reader, &name);
@@ -68,7 +68,7 @@
     draft.anonymous = Some(name);
 }
 
-fn read_section(reader: &mut Reader, title: &str, draft: &mut Draft) {
+fn read_section(reader: &mut Reader, title: &str, draft: &mut Builder) {
     let (kind, name) = title.split_once(' ').unwrap_or((title, ""));
     let mut section = reader.section(title);
     match kind {
@@ -225,10 +225,10 @@
         deadline,
         host,
         shares,
-        keyed,
+        requires_key: keyed,
         attempts,
-        hold,
-        target,
+        max_duration: hold,
+        target_latency: target,
         priority,
         stream: gap.map(|gap| Stream { resumable, gap }),
         open,
@@ -307,7 +307,7 @@
     })
 }
 
-fn check_references(reader: &mut Reader, draft: &Draft) {
+fn check_references(reader: &mut Reader, draft: &Builder) {
     let known = |region: &Region| draft.regions.contains_key(region);
     let mut faults: Vec<(String, &str, String)> = Vec::new();
     let mut check_regions = |section: String, key: &'static str, list: &[Region]| {
@@ -363,7 +363,7 @@
 
 /// Finds routes whose name is also a model's, and routes with the same host and prefix. Routes and
 /// models share one namespace, since both name services.
-fn duplicate_routes(draft: &Draft) -> Vec<(String, &'static str, String)> {
+fn duplicate_routes(draft: &Builder) -> Vec<(String, &'static str, String)> {
     let mut prefixes = HashSet::new();
     let mut faults = Vec::new();
     for route in &draft.routes {
@@ -396,7 +396,7 @@
 }
 
 /// Finds customers that list an API key twice or share one with another customer.
-fn duplicate_keys(reader: &Reader, draft: &Draft) -> Vec<(String, &'static str, String)> {
+fn duplicate_keys(reader: &Reader, draft: &Builder) -> Vec<(String, &'static str, String)> {
     let mut seen = HashSet::new();
     let mut customers: Vec<&Customer> = draft.customers.values().collect();
     customers.sort_by(|a, b| a.name.cmp(&b.name));
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -10,7 +10,7 @@
 
 /// The properties of a request that decide how it is routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Query {
     /// The customer.
     pub customer: id::Customer,
     /// The path, without its query.
@@ -21,7 +21,7 @@
     pub host: Option<String>,
     /// A random number that chooses among the services of a route. It stays the same for as long as
     /// the request is in flight.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// Index of routes by host and path prefix. The cost of a search depends on the number of
@@ -104,7 +104,7 @@
     pub service: Service,
     /// The queue of the request: the model, or the route of an application request. Requests of one
     /// queue may run in the same places.
-    pub line: Service,
+    pub queue: Service,
     backends: &'a Matcher,
     region_limits: Vec<&'a [Region]>,
     home: Option<&'a Region>,
@@ -112,7 +112,7 @@
 
 impl Plan<'_> {
     /// Reports whether the request may run in `region`.
-    pub fn permits(&self, region: &Region) -> bool {
+    pub fn permits_region(&self, region: &Region) -> bool {
         let includes = |list: &&[Region]| list.is_empty() || list.contains(region);
         self.region_limits.iter().all(includes) && self.home.is_none_or(|home| home == region)
     }
@@ -124,14 +124,14 @@
 
     /// Returns the longest acceptable pause between two events of a streamed answer. `None` if the
     /// answer does not stream or the route sets no such pause.
-    pub fn gap(&self) -> Option<Millis> {
+    pub fn max_event_gap(&self) -> Option<Millis> {
         let gap = self.route.stream.map(|stream| stream.gap);
         gap.filter(|gap| gap.0 > 0)
     }
 
     /// Reports whether `backend` is permitted to run the request, regardless of its current state.
-    pub fn allows(&self, backend: &Backend) -> bool {
-        self.permits(&backend.region)
+    pub fn permits_backend(&self, backend: &Backend) -> bool {
+        self.permits_region(&backend.region)
             && backend.serves.contains(&self.service)
             && self.backends.matches(&backend.labels)
     }
@@ -140,7 +140,7 @@
 impl Config {
     /// Routes a request: finds its customer, route, model and selector, and the constraints that
     /// follow from them.
-    pub fn plan(&self, ask: &Ask) -> Result<Plan<'_>, Refusal> {
+    pub fn plan(&self, ask: &Query) -> Result<Plan<'_>, Refusal> {
         let customer = self
             .customers
             .get(&ask.customer)
@@ -171,30 +171,38 @@
         region_limits.extend(model.map(|m| &m.regions[..]));
         let line = model.map_or_else(|| route.name.clone(), |m| m.name.clone());
         let plan = Plan {
-            line,
+            queue: line,
             customer,
             route,
             selector: &selector.name,
-            service: model.map_or_else(|| route.service(ask.draw), |m| m.name.clone()),
+            service: model.map_or_else(|| route.service(ask.random), |m| m.name.clone()),
             backends: &selector.backends,
             region_limits,
             home: customer.home.as_ref().filter(|_| selector.home_only),
         };
-        if !self.regions.keys().any(|region| plan.permits(region)) {
+        if !self
+            .regions
+            .keys()
+            .any(|region| plan.permits_region(region))
+        {
             return Err(Refusal::NoRegion);
         }
         Ok(plan)
     }
 
     /// Returns the routes of `host`; with `None`, those that accept any host.
-    pub fn of_host(&self, host: Option<&str>) -> impl Iterator<Item = &Route> {
+    pub fn routes_of_host(&self, host: Option<&str>) -> impl Iterator<Item = &Route> {
         let routes = self.routes.iter();
         routes.filter(move |r| r.host.as_deref() == host)
     }
 
     /// Returns the routes of `host` whose requests may run in `region`.
-    pub fn permitted(&self, host: Option<&str>, region: &Region) -> impl Iterator<Item = &Route> {
-        let routes = self.of_host(host);
+    pub fn routes_in_region(
+        &self,
+        host: Option<&str>,
+        region: &Region,
+    ) -> impl Iterator<Item = &Route> {
+        let routes = self.routes_of_host(host);
         routes.filter(|r| r.permits(region))
     }
 
--- a/src/content.rs
+++ b/src/content.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{id, settings::Secret, sign, wire::Short};
+use crate::{id, settings::Secret, sign, wire::NameHash};
 
 /// Domain separator of the hash: a hash of the same bytes for another purpose differs.
 const PURPOSE: &str = "content";
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// The customer.
-    pub customer: Short,
+    pub customer: NameHash,
     /// The content of the request.
     pub content: Content,
 }
@@ -47,7 +47,7 @@
     /// Creates the fingerprint of a content requested by `customer`.
     pub fn new(customer: &id::Customer, content: Content) -> Self {
         Self {
-            customer: Short::of(customer.as_str()),
+            customer: NameHash::of(customer.as_str()),
             content,
         }
     }
@@ -67,7 +67,7 @@
         let customer = u32::from_str_radix(customer, 16).map_err(|_| expected)?;
         let content = u64::from_str_radix(content, 16).map_err(|_| expected)?;
         Ok(Self {
-            customer: Short(customer),
+            customer: NameHash(customer),
             content: Content(content),
         })
     }
--- a/src/detector.rs
+++ b/src/detector.rs
@@ -39,7 +39,7 @@
 
     /// Records that data arrived, and the longest pause of a stream since the last call. Returns
     /// true if the server was considered failed until now.
-    pub fn hear(&mut self, pause: Millis, now: Time) -> bool {
+    pub fn record_data(&mut self, pause: Millis, now: Time) -> bool {
         self.longest_pause = self.decayed_pause(now).max(pause.0 as f64);
         self.updated = now;
         self.silence = Millis(0);
@@ -48,7 +48,7 @@
 
     /// Records that `streams` were open for `span` without receiving data. Returns true if the
     /// server is considered failed from now on.
-    pub fn wait(&mut self, span: Millis, streams: usize, now: Time) -> bool {
+    pub fn record_silence(&mut self, span: Millis, streams: usize, now: Time) -> bool {
         if streams < MIN_STREAMS {
             self.silence = Millis(0);
             return false;
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -20,11 +20,11 @@
     id::{self, Domain, Incarnation, Region, Service},
     rollout,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 pub use changes::Changes;
-pub use ending::End;
+pub use ending::Shutdown;
 pub use revision::{Era, Revision};
 
 use departures::Departures;
@@ -34,12 +34,12 @@
 /// How long a registration that disappeared around a store outage is still treated as valid. Live
 /// servers re-register about two seconds after the store is back; the rest covers the propagation
 /// of the update.
-pub const DOUBT: Millis = Millis(2300);
+pub const OUTAGE_GRACE: Millis = Millis(2300);
 
 /// How long after a restore from a copy entries missing from the store may still be written again.
 /// Live servers re-register within two seconds, and the entry of a server that ended expires after
 /// three heartbeats.
-pub const RESTORED: Millis = Millis(5000);
+pub const RESTORE_GRACE: Millis = Millis(5000);
 
 /// How long ended registrations are remembered, because a store restored from a copy may list them
 /// again.
@@ -54,7 +54,7 @@
 const SMALL_FLEET_BOXES: usize = 9;
 
 /// Returns how long a box in a fleet of `boxes` batches changes of the platform's store.
-pub fn gathering(boxes: usize) -> Millis {
+pub fn batch_delay(boxes: usize) -> Millis {
     let more = boxes.saturating_sub(SMALL_FLEET_BOXES) as u64;
     Millis(BATCH_DELAY.0.0.saturating_mul(more)).min(BATCH_DELAY.1)
 }
@@ -71,12 +71,12 @@
     /// Revision on which the delta is based; `None` for a full snapshot.
     pub since: Option<Revision>,
     /// Backend servers removed since then.
-    pub gone: Vec<id::Backend>,
+    pub removed: Vec<id::Backend>,
     /// Revision ranges after `since` of which only the final state is known: servers that changed
     /// and changed back within them are not included.
     pub gaps: Vec<(Revision, Revision)>,
     /// How much longer each registration in doubt is treated as valid.
-    pub doubted: BTreeMap<id::Backend, Millis>,
+    pub in_doubt: BTreeMap<id::Backend, Millis>,
     /// Failure domains under evacuation.
     pub evacuated: BTreeSet<Domain>,
     /// Roll-outs of services.
@@ -94,16 +94,16 @@
         backends: Vec<Backend>,
         /// How long a missing server may be missing because of a store fault; zero if the store is
         /// healthy.
-        doubt: Millis,
+        grace: Millis,
     },
     /// A server was added or changed.
     Put(Backend),
     /// A registration disappeared.
-    Gone {
+    Removed {
         /// Its name.
         name: id::Backend,
         /// How long the disappearance may be due to a store fault; zero if the store is healthy.
-        doubt: Millis,
+        grace: Millis,
     },
 }
 
@@ -151,7 +151,7 @@
     index: Index,
     /// Servers whose registration is in doubt.
     missing: HashSet<id::Backend>,
-    /// Servers that restarted under the same name since the last [`Fleet::take_reborn`].
+    /// Servers that restarted under the same name since the last [`Fleet::take_restarted`].
     restarted: Vec<id::Backend>,
     departures: Departures,
     ending: Ending,
@@ -166,7 +166,7 @@
 impl Fleet {
     /// Records that this incarnation of a backend server announced its departure at `at`; returns
     /// whether that was not known before.
-    pub fn depart(
+    pub fn record_departure(
         &mut self,
         name: &id::Backend,
         incarnation: Option<Incarnation>,
@@ -214,12 +214,15 @@
     /// Applies a change received at `now`; returns whether it removed a server.
     pub fn apply(&mut self, change: Change, now: Time) -> bool {
         match change {
-            Change::List { backends, doubt } => self.apply_list(backends, doubt, now),
+            Change::List {
+                backends,
+                grace: doubt,
+            } => self.apply_list(backends, doubt, now),
             Change::Put(backend) => {
                 self.put(backend, true, now);
                 false
             }
-            Change::Gone { name, doubt } => self.mark_missing(&name, doubt, now),
+            Change::Removed { name, grace: doubt } => self.mark_missing(&name, doubt, now),
         }
     }
 
@@ -247,8 +250,8 @@
 
     /// Records that the store was restored from a copy: for a while, earlier knowledge of servers
     /// that left takes precedence over its lists.
-    pub fn enter_era(&mut self, now: Time) {
-        self.restored_until = Some(now + RESTORED);
+    pub fn record_restore(&mut self, now: Time) {
+        self.restored_until = Some(now + RESTORE_GRACE);
         let leaving = self.members.values();
         let leaving = leaving.filter(|m| m.registered && m.registered_leaving);
         for Member { backend, .. } in leaving {
@@ -371,7 +374,7 @@
 
     /// Returns the backend servers that restarted under the same name since the last call: what was
     /// known of them applies to an earlier incarnation.
-    pub fn take_reborn(&mut self) -> Vec<id::Backend> {
+    pub fn take_restarted(&mut self) -> Vec<id::Backend> {
         std::mem::take(&mut self.restarted)
     }
 
@@ -381,7 +384,7 @@
     }
 
     /// Returns the full name for the hash `short`.
-    pub fn long(&self, short: Short) -> Option<&id::Backend> {
+    pub fn long(&self, short: NameHash) -> Option<&id::Backend> {
         self.index.name_of(short)
     }
 
@@ -403,7 +406,7 @@
 
     /// Records that the backend servers of `domain` may just have become cold, for the longest
     /// `span` of the services that each serves.
-    pub fn chill(&mut self, domain: &Domain, span: impl Fn(&Service) -> Millis, now: Time) {
+    pub fn mark_cold(&mut self, domain: &Domain, span: impl Fn(&Service) -> Millis, now: Time) {
         let in_domain = |m: &&mut Member| m.backend.domain == *domain;
         for member in self.members.values_mut().filter(in_domain) {
             let spans = member.backend.serves.iter().map(&span);
@@ -428,7 +431,7 @@
     }
 
     /// Splits `names` into servers that are registered as of `now` and servers that are gone.
-    pub fn sort_out<'a>(
+    pub fn partition_registered<'a>(
         &self,
         names: impl IntoIterator<Item = &'a id::Backend>,
         now: Time,
@@ -477,7 +480,7 @@
     }
 
     /// Returns how much longer each registration in doubt is treated as valid, from `now` on.
-    pub fn doubted(&self, now: Time) -> BTreeMap<id::Backend, Millis> {
+    pub fn in_doubt(&self, now: Time) -> BTreeMap<id::Backend, Millis> {
         let left = |name: &id::Backend| {
             let until = self.members.get(name)?.missing_until?;
             Some((name.clone(), until.since(now)))
@@ -520,7 +523,7 @@
 
     /// Returns the backend servers of `region` that serve `service` in ring order from `key`, which
     /// is the same at every box.
-    pub fn around(
+    pub fn ring_from(
         &self,
         service: &Service,
         region: &Region,
--- a/src/fleet/changes.rs
+++ b/src/fleet/changes.rs
@@ -24,7 +24,7 @@
 
 impl Changes {
     /// Resets the log after a full list as of `revision`.
-    pub fn begin(&mut self, revision: Revision) {
+    pub fn reset(&mut self, revision: Revision) {
         self.complete_after = Some(revision);
         self.entries.clear();
         self.gaps.clear();
@@ -32,7 +32,7 @@
 
     /// Records that the box moved from `since` to `until` in one step: a box that received some of
     /// the changes in between may know servers that this one never saw.
-    pub fn skip(&mut self, since: Revision, until: Revision) {
+    pub fn record_gap(&mut self, since: Revision, until: Revision) {
         if since < until {
             self.gaps.push_back((since, until));
         }
--- a/src/fleet/ending.rs
+++ b/src/fleet/ending.rs
@@ -11,16 +11,16 @@
 
 /// Announced end of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Shutdown {
     /// When the end was first announced to this box.
-    pub heard: Time,
+    pub announced_at: Time,
     /// When the server stops, whether or not requests are still running there.
     pub at: Time,
 }
 
 /// Known ends by server name, with the incarnation that announced them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ending(BTreeMap<id::Backend, (Option<Incarnation>, End)>);
+pub(super) struct Ending(BTreeMap<id::Backend, (Option<Incarnation>, Shutdown)>);
 
 impl Ending {
     /// Records what a server's registration says. One incarnation's remaining time is repeated as
@@ -33,8 +33,8 @@
         };
         let known = self.0.get(&backend.name);
         let known = known.filter(|(life, _)| *life == backend.incarnation);
-        let end = End {
-            heard: known.map_or(now, |(_, end)| end.heard),
+        let end = Shutdown {
+            announced_at: known.map_or(now, |(_, end)| end.announced_at),
             at: known.map_or(now + left, |(_, end)| end.at.min(now + left)),
         };
         self.0
@@ -51,7 +51,7 @@
         self.0.get(name).map(|(_, end)| end.at.since(now))
     }
 
-    fn iter(&self) -> impl Iterator<Item = (&id::Backend, End)> {
+    fn iter(&self) -> impl Iterator<Item = (&id::Backend, Shutdown)> {
         self.0.iter().map(|(name, (_, end))| (name, *end))
     }
 }
@@ -59,7 +59,7 @@
 impl Fleet {
     /// Returns the servers that are leaving and state how long they will keep running, sorted by
     /// name.
-    pub fn ending(&self) -> impl Iterator<Item = (&id::Backend, End)> {
+    pub fn ending(&self) -> impl Iterator<Item = (&id::Backend, Shutdown)> {
         self.ending.iter()
     }
 }
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -5,7 +5,7 @@
 use crate::{
     config::Backend,
     id::{self, Region, Service},
-    wire::Short,
+    wire::NameHash,
 };
 
 /// Servers of one service in one region.
@@ -14,7 +14,7 @@
     /// Sorted names.
     pub(super) names: Vec<id::Backend>,
     /// Hashes of the names, so that a few servers can be found for a key without a scan of all.
-    ring: BTreeSet<Short>,
+    ring: BTreeSet<NameHash>,
 }
 
 /// Lookup tables; a change touches only the entries of its own server, because thousands of servers
@@ -22,12 +22,12 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     groups: HashMap<Service, HashMap<Region, Group>>,
-    shorts: HashMap<Short, id::Backend>,
+    shorts: HashMap<NameHash, id::Backend>,
 }
 
 impl Index {
     pub(super) fn add(&mut self, backend: &Backend) {
-        let short = Short::of(backend.name.as_str());
+        let short = NameHash::of(backend.name.as_str());
         self.shorts.insert(short, backend.name.clone());
         for service in &backend.serves {
             let regions = self.groups.entry(service.clone()).or_default();
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn remove(&mut self, backend: &Backend) {
-        let short = Short::of(backend.name.as_str());
+        let short = NameHash::of(backend.name.as_str());
         self.shorts.remove(&short);
         for service in &backend.serves {
             let Some(regions) = self.groups.get_mut(service) else {
@@ -60,7 +60,7 @@
     }
 
     /// Returns the full name for the hash `short`.
-    pub(super) fn name_of(&self, short: Short) -> Option<&id::Backend> {
+    pub(super) fn name_of(&self, short: NameHash) -> Option<&id::Backend> {
         self.shorts.get(&short)
     }
 
@@ -83,7 +83,7 @@
         key: u64,
     ) -> impl Iterator<Item = &id::Backend> {
         let ring = self.group(service, region).map(|group| &group.ring);
-        let start = Short((key ^ (key >> 32)) as u32);
+        let start = NameHash((key ^ (key >> 32)) as u32);
         let hashes = ring.map(|ring| ring.range(start..).chain(ring.range(..start)));
         let hashes = hashes.into_iter().flatten();
         hashes.filter_map(|short| self.name_of(*short))
--- a/src/gateway/admin.rs
+++ b/src/gateway/admin.rs
@@ -9,13 +9,13 @@
 use tokio::time::sleep;
 
 use crate::{
-    config::{Ask, Config, Envelope, Record, Version},
+    config::{Config, Envelope, Query, Record, Version},
     gateway::{
         Shell,
         body::Body,
         directory::{METRICS_PATH, METRICS_TYPE},
         follow, head,
-        order::{Desk, newer_record, write_id},
+        order::{Writer, newer_record, write_id},
         store::{Stored, Swap},
     },
     id::{self, Service},
@@ -97,7 +97,7 @@
 }
 
 fn text_response(status: StatusCode, text: &str) -> Response<Body> {
-    head::whole(status, "text/plain", format!("{text}\n"))
+    head::full_response(status, "text/plain", format!("{text}\n"))
 }
 
 /// Serves one request to the admin API.
@@ -107,7 +107,7 @@
         (&Method::GET, "/health") => return text_response(StatusCode::OK, "alive"),
         (&Method::GET, "/ready") => return shell.readiness().await,
         (&Method::GET, METRICS_PATH) => {
-            return head::whole(StatusCode::OK, METRICS_TYPE, shell.metrics.text());
+            return head::full_response(StatusCode::OK, METRICS_TYPE, shell.metrics.text());
         }
         _ => {}
     }
@@ -124,7 +124,7 @@
     };
     match (&parts.method, parts.uri.path()) {
         (&Method::GET, "/status") => match shell.core.status().await {
-            Some(status) => head::json_answer(StatusCode::OK, &status),
+            Some(status) => head::json_response(StatusCode::OK, &status),
             None => text_response(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
         },
         (&Method::GET, "/config") => get_config(&shell).await,
@@ -146,15 +146,15 @@
 
 /// Starts a roll-out.
 async fn start_rollout(shell: &Shell, headers: &HeaderMap, body: &[u8]) -> Response<Body> {
-    let ask: order::Ask = match serde_json::from_slice(body) {
+    let ask: order::Request = match serde_json::from_slice(body) {
         Ok(ask) => ask,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let Some(author) = header_text(headers, AUTHOR) else {
         return text_response(StatusCode::BAD_REQUEST, "an order needs X-Author");
     };
-    let outcome = Desk::of(shell).start(author, &ask).await;
-    head::json_answer(outcome.status(), &outcome)
+    let outcome = Writer::of(shell).start(author, &ask).await;
+    head::json_response(outcome.status(), &outcome)
 }
 
 /// Stops a roll-out; the body names the service.
@@ -166,8 +166,8 @@
     let Some(author) = header_text(headers, AUTHOR) else {
         return text_response(StatusCode::BAD_REQUEST, "an order needs X-Author");
     };
-    let outcome = Desk::of(shell).stop(author, &service).await;
-    head::json_answer(outcome.status(), &outcome)
+    let outcome = Writer::of(shell).stop(author, &service).await;
+    head::json_response(outcome.status(), &outcome)
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -197,9 +197,9 @@
                 ..
             }),
             _,
-        ) => head::json_answer(StatusCode::OK, &record),
+        ) => head::json_response(StatusCode::OK, &record),
         (Ok(_), None) => text_response(StatusCode::NOT_FOUND, "there is no configuration yet"),
-        (Ok(_) | Err(_), Some(current)) => head::json_answer(StatusCode::OK, &*current.record),
+        (Ok(_) | Err(_), Some(current)) => head::json_response(StatusCode::OK, &*current.record),
         (Err(error), None) => text_response(
             StatusCode::SERVICE_UNAVAILABLE,
             &format!("the store does not answer: {error:#}"),
@@ -212,15 +212,15 @@
         Ok(question) => question,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    let ask = Ask {
+    let ask = Query {
         host: None,
-        draw: 0,
+        random: 0,
         customer: question.customer,
         path: question.path,
         model: question.model,
     };
     match shell.core.explain(ask, 0).await {
-        Some(Ok(explanation)) => head::json_answer(StatusCode::OK, &explanation),
+        Some(Ok(explanation)) => head::json_response(StatusCode::OK, &explanation),
         Some(Err(reason)) => text_response(StatusCode::NOT_FOUND, &reason),
         None => text_response(StatusCode::SERVICE_UNAVAILABLE, "the box is stopping"),
     }
@@ -237,7 +237,7 @@
     };
     let change = write_config(shell, base, author, config).await;
     log::info!("admin: configuration change by {author:?} based on {base}: {change:?}.");
-    head::json_answer(change.status(), &change)
+    head::json_response(change.status(), &change)
 }
 
 /// Writes a configuration that is based on `base` by compare-and-swap; roll-outs are carried over
@@ -275,7 +275,7 @@
     };
     match shell.store.swap(stored.revision, &record).await {
         Ok(Swap::Done) => accepted(shell, record),
-        Ok(Swap::Lost) => match shell.store.read().await {
+        Ok(Swap::Conflict) => match shell.store.read().await {
             Ok(winner) => conflict(winner.record.as_ref()),
             Err(_) => conflict(newest),
         },
--- a/src/gateway/ask.rs
+++ b/src/gateway/ask.rs
@@ -5,7 +5,7 @@
 use hyper::{Response, StatusCode};
 
 use crate::{
-    gateway::{Shell, body::Body, core::Order, head, read::deny},
+    gateway::{Shell, body::Body, core::Command, head, read::deny},
     pin::{self, Pin},
     reducer::{
         effect::{Entry, Reply},
@@ -28,8 +28,8 @@
         credential,
     });
     match orders.recv().await {
-        Some(Order::Boxes(boxes)) => Ok(list_boxes(shell, &boxes)),
-        Some(Order::Reply(reply)) => Err(reply),
+        Some(Command::Boxes(boxes)) => Ok(list_boxes(shell, &boxes)),
+        Some(Command::Reply(reply)) => Err(reply),
         _ => Err(deny(503, "this box is stopping")),
     }
 }
@@ -42,7 +42,7 @@
             let pin = Pin {
                 peer: entry.contact.peer,
                 incarnation: entry.incarnation,
-                expiry: entry.uptime + pin::LIFE,
+                expiry: entry.uptime + pin::PIN_LIFETIME,
             };
             serde_json::json!({
                 "box": entry.contact.name,
@@ -55,5 +55,5 @@
         })
         .collect();
     let content = serde_json::json!({ "boxes": rows, "use_for_ms": BOX_LIST_TTL });
-    head::json_answer(StatusCode::OK, &content)
+    head::json_response(StatusCode::OK, &content)
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,14 +15,14 @@
     gateway::{
         Shell,
         checksum::Checksum,
-        clock::Moment,
+        clock::BootInstant,
         delimiter::{Delimiter, Sender},
         dial::{Distance, Failure, Lease},
-        exchange::Door,
+        exchange::Ingress,
         head,
         trace::Span,
     },
-    limit::Word,
+    limit::Announcement,
     platform::{self, head::Outcome},
     pushback,
     reducer::{
@@ -47,9 +47,9 @@
     /// The memory reserved for the body, released with it.
     pub(crate) _memory: Option<OwnedSemaphorePermit>,
     pub(crate) span: Span,
-    pub(crate) received_at: Moment,
+    pub(crate) received_at: BootInstant,
     /// The listener that received the request.
-    pub(crate) door: Door,
+    pub(crate) door: Ingress,
 }
 
 /// A response whose head has arrived and whose body is still to be read.
@@ -112,11 +112,11 @@
         headers.insert(platform::head::LAST_EVENT, head::value(last));
     }
     if let Some(origin) = &send.continues {
-        platform::head::go_on(request.headers_mut(), origin);
+        platform::head::set_run_origin(request.headers_mut(), origin);
     }
     let distance = match send.target {
-        Target::Backend { .. } => Distance::Near,
-        Target::Relay { .. } | Target::Pass { .. } => Distance::Far,
+        Target::Backend { .. } => Distance::SameRegion,
+        Target::Relay { .. } | Target::Pass { .. } => Distance::OtherRegion,
     };
     let fresh = !send.repeatable;
     let sent = shell.pool.send(address, request, fresh, distance).await;
@@ -128,12 +128,12 @@
         };
         AttemptFailure::new(failure.verdict(), cause)
     })?;
-    span.note("http.response.status_code", response.status().as_u16());
+    span.set_attribute("http.response.status_code", response.status().as_u16());
     let sender = match send.target {
         Target::Backend { .. } => Sender::Backend,
         Target::Relay { .. } | Target::Pass { .. } => Sender::Box,
     };
-    if sender == Sender::Box && !Checksum::holds(&response) {
+    if sender == Sender::Box && !Checksum::matches(&response) {
         count("failed");
         shell.metrics.relay_gaps.inc();
         let (request, attempt) = (send.request, send.attempt.0);
@@ -185,7 +185,7 @@
 fn concerns_backend(shell: &Shell, prepared: &Prepared, response: &Response<Incoming>) -> bool {
     let (status, headers) = (response.status(), response.headers());
     match shell.settings.interface {
-        Interface::Platform => platform::head::is_answer(&prepared.headers, status, headers),
+        Interface::Platform => platform::head::matches_request(&prepared.headers, status, headers),
         Interface::Own => true,
     }
 }
@@ -225,8 +225,8 @@
         return;
     };
     let fields = headers.get_all(RETRY_AFTER).iter();
-    let word = pushback::Word::read(fields.map(HeaderValue::as_bytes));
-    if word != pushback::Word::Silent {
+    let word = pushback::Pushback::read(fields.map(HeaderValue::as_bytes));
+    if word != pushback::Pushback::Absent {
         shell.core.tell(Event::PushedBack {
             backend: name.clone(),
             incarnation: *incarnation,
@@ -247,9 +247,9 @@
     else {
         return;
     };
-    let word = Word::read(fields(headers, names.limit.as_ref()));
+    let word = Announcement::read(fields(headers, names.limit.as_ref()));
     let limited = send.basis.limit.is_some();
-    if word.rate().is_some() || ran && (limited || word == Word::Unreadable) {
+    if word.rate().is_some() || ran && (limited || word == Announcement::Unreadable) {
         let backend = name.clone();
         shell.core.tell(Event::Limited {
             backend,
@@ -266,7 +266,7 @@
     response: &Response<Incoming>,
 ) -> Option<(Verdict, Cause)> {
     let (status, headers) = (response.status(), response.headers());
-    let outcome = platform::head::judge(&prepared.headers, status, headers);
+    let outcome = platform::head::classify_answer(&prepared.headers, status, headers);
     let cause = match outcome {
         Outcome::Answer => return None,
         Outcome::Error => Cause::Errored,
@@ -326,9 +326,15 @@
         Target::Backend { address, name, .. } => {
             if platform {
                 let customer = (!send.anonymous).then_some(&send.customer);
-                platform::head::address(&mut headers, name, customer, send.priority, left);
+                platform::head::set_backend_headers(
+                    &mut headers,
+                    name,
+                    customer,
+                    send.priority,
+                    left,
+                );
                 if let Some(source) = send.fetch {
-                    platform::head::fetch(&mut headers, source);
+                    platform::head::set_fetch_source(&mut headers, source);
                 }
             }
             (*address, "send to backend server")
@@ -344,7 +350,7 @@
     };
     let to_box = !matches!(send.target, Target::Backend { .. });
     if to_box || !platform {
-        headers.insert(head::LEFT, head::value(left.0));
+        headers.insert(head::DEADLINE_MS, head::value(left.0));
     }
     if to_box {
         headers.insert(header_name(head::CHECKED), head::value(true));
@@ -358,7 +364,7 @@
         headers.insert(HOST, head::value(address));
     }
     let span = shell.tracer.send(name, &prepared.span, &mut headers);
-    span.note("server.address", address);
+    span.set_attribute("server.address", address);
     let mut request = Request::new(Full::new(prepared.body.clone()));
     *request.method_mut() = prepared.method.clone();
     *request.uri_mut() = prepared.uri.clone();
--- a/src/gateway/carry.rs
+++ b/src/gateway/carry.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     gateway::{
-        core::{Core, Order},
+        core::{Command, Core},
         stream::Stream,
     },
-    memory::moved::{Moved, Origin},
+    memory::transfer::{Handover, Origin},
     platform::engine,
     reducer::{
         effect::{Move, Send},
@@ -86,13 +86,13 @@
 
     /// Handles an order that announces the stop of the run, or that follows a completed stop and
     /// names the next attempt. Returns false if the stream cannot be resumed.
-    pub(super) fn handle_stop_order(&mut self, order: Order) -> bool {
+    pub(super) fn handle_stop_order(&mut self, order: Command) -> bool {
         let Some(resume) = &mut self.resume else {
             return false;
         };
         match order {
-            Order::Stopping => resume.stop = StopState::Requested,
-            Order::Send(send) if send.continues.is_some() => {
+            Command::Stopping => resume.stop = StopState::Requested,
+            Command::Send(send) if send.continues.is_some() => {
                 resume.stop = StopState::Stopped(send, Box::pin(sleep(DRAIN_TIMEOUT)));
             }
             _ => return false,
@@ -133,7 +133,7 @@
         let Some(handle) = self.handle.clone() else {
             return;
         };
-        let tag = self.orders.get(&order.request);
+        let tag = self.open_requests.get(&order.request);
         let tag = tag.and_then(|open| open.tag.clone());
         let pool = self.parts.pool.clone();
         tokio::spawn(async move {
@@ -149,7 +149,7 @@
                 Some(run) => engine::move_run(&pool, from.address, &run, to.address, last).await,
                 // Engines identify a run by its caller's request id; a run without one cannot be
                 // moved.
-                None => Moved::Refused,
+                None => Handover::Refused,
             };
             log::debug!(
                 "move: box_id={request} from={} last={last} {result:?}",
@@ -168,7 +168,7 @@
     pub(super) fn free_copy(&self, origin: Origin) {
         let pool = self.parts.pool.clone();
         tokio::spawn(async move {
-            if let Err(error) = engine::free(&pool, &origin).await {
+            if let Err(error) = engine::free_copy(&pool, &origin).await {
                 let Origin { address, handle } = origin;
                 log::warn!("move: cannot free copy {handle} on {address}, it will expire: {error}");
             }
--- a/src/gateway/checksum.rs
+++ b/src/gateway/checksum.rs
@@ -29,7 +29,7 @@
     }
 
     /// Reports whether the head of `response` matches the checksum that it carries.
-    pub fn holds<B>(response: &Response<B>) -> bool {
+    pub fn matches<B>(response: &Response<B>) -> bool {
         let headers = response.headers();
         let received = headers.get(head::CHECK).and_then(|v| v.to_str().ok());
         let received = received.and_then(|received| received.parse().ok());
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! `std::time::Instant` and the clock of the runtime stop during a suspension, and timers of the
 //! runtime fire late by that time. Leases, heartbeats, load figures, allotments and idle
-//! connections age all the same, so every age is measured with [`Moment`]; the clock of the runtime
+//! connections age all the same, so every age is measured with [`BootInstant`]; the clock of the runtime
 //! only wakes tasks.
 
 use std::{
@@ -16,9 +16,9 @@
 
 /// A point in time, stored as the time since the machine booted, including suspensions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(Duration);
+pub struct BootInstant(Duration);
 
-impl Moment {
+impl BootInstant {
     /// Returns the current time.
     pub fn now() -> Self {
         let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME);
@@ -39,14 +39,14 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for BootInstant {
     type Output = Self;
     fn add(self, span: Duration) -> Self {
         Self(self.0 + span)
     }
 }
 
-impl Sub for Moment {
+impl Sub for BootInstant {
     type Output = Duration;
     fn sub(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
@@ -56,14 +56,14 @@
 /// A clock that counts the milliseconds since it was started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Moment,
+    start: BootInstant,
 }
 
 impl Clock {
     /// Creates a clock that starts at 0 now.
     pub fn start() -> Self {
         Self {
-            start: Moment::now(),
+            start: BootInstant::now(),
         }
     }
 
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -13,21 +13,21 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::{
-    config::{Ask, Config, Record, Version},
+    config::{Config, Query, Record, Version},
     fleet::{Revision, Roster},
     gateway::{
         clock::Clock,
         dial::Pool,
         engine_news::Followers,
         gossip::Links,
-        keep::Write,
         lines::Quota,
         metrics::Metrics,
         order,
         repeats::RepeatReport,
         replay::Replay,
         store::Store,
-        worst::{CustomerOutcomes, CustomerRequest},
+        store_writes::QuarantineWrite,
+        worst_customers::{CustomerOutcomes, CustomerRequest},
     },
     id, policy,
     reducer::{
@@ -43,18 +43,18 @@
 
 /// A command from the reducer to the task of a request.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum Command {
     /// Start an attempt.
     Send(Box<SendOrder>),
     /// Abort the current attempt.
     Abort,
     /// Detach the response stream from its current target; the next command names the new one.
-    Leave,
+    Detach,
     /// The run is about to be stopped at its engine: the stream may end early, and its remainder
     /// then comes from another engine.
     Stopping,
     /// The stream whose connection closed was complete.
-    Close,
+    Complete,
     /// Respond with the given reply.
     Reply(Reply),
     /// Respond with the stored response of another request.
@@ -99,7 +99,7 @@
 pub(crate) struct Core {
     pub(super) state: State<policy::Named>,
     pub(super) parts: Parts,
-    pub(super) orders: HashMap<id::Request, OpenRequest>,
+    pub(super) open_requests: HashMap<id::Request, OpenRequest>,
     pub(super) quota: Quota,
     /// The tasks that follow the cache contents of engines.
     pub(super) followers: Followers,
@@ -117,7 +117,7 @@
 
 /// A request in flight: the channel to its task, and what logs and statistics need of it.
 pub(super) struct OpenRequest {
-    sender: mpsc::UnboundedSender<Order>,
+    sender: mpsc::UnboundedSender<Command>,
     /// The request ID that the caller supplied.
     pub(super) tag: Option<String>,
     /// The customer and the time limit; `None` for requests that came through another box.
@@ -127,7 +127,7 @@
 /// An event for the reducer, with the command channel if the event opens a request.
 struct Input {
     event: Event,
-    sender: Option<mpsc::UnboundedSender<Order>>,
+    sender: Option<mpsc::UnboundedSender<Command>>,
 }
 
 struct Offer {
@@ -153,7 +153,7 @@
 struct RosterAnswer(Option<Roster>);
 
 struct ExplainQuery {
-    ask: Ask,
+    ask: Query,
     prefix: u64,
 }
 
@@ -172,7 +172,7 @@
         let core = Core {
             state: State::new(parts.identity.clone(), parts.policy),
             parts,
-            orders: HashMap::new(),
+            open_requests: HashMap::new(),
             quota: Quota::default(),
             followers: Followers::new(),
             offered: None,
@@ -206,7 +206,7 @@
     }
 
     /// Sends an event that opens a request, and returns the channel for the request's commands.
-    pub(crate) fn open(&self, event: Event) -> mpsc::UnboundedReceiver<Order> {
+    pub(crate) fn open(&self, event: Event) -> mpsc::UnboundedReceiver<Command> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.enqueue(Input {
             event,
@@ -221,8 +221,8 @@
     }
 
     /// Reports a configuration that failed validation.
-    pub(crate) fn unreadable(&self, version: Version) {
-        self.tell(Event::Unreadable(version));
+    pub(crate) fn report_invalid_config(&self, version: Version) {
+        self.tell(Event::InvalidConfig(version));
     }
 
     /// Waits until the actor has stopped, which happens only when the reducer has failed.
@@ -248,7 +248,7 @@
     /// Reports where a request would be routed, without sending it.
     pub(crate) async fn explain(
         &self,
-        ask: Ask,
+        ask: Query,
         prefix: u64,
     ) -> Option<Result<Explanation, String>> {
         let answer = self.0.ask(ExplainQuery { ask, prefix }).await;
@@ -276,7 +276,7 @@
                 Event::Arrived(arrival) => (arrival.tag.clone(), self.customer_request(arrival)),
                 _ => (None, None),
             };
-            self.orders.insert(
+            self.open_requests.insert(
                 request,
                 OpenRequest {
                     sender,
@@ -286,7 +286,7 @@
             );
         }
         let closed = match &input.event {
-            Event::Gone(request) | Event::Ended { request, .. } => Some(*request),
+            Event::Disconnected(request) | Event::Ended { request, .. } => Some(*request),
             _ => None,
         };
         let customer_outcome = self.customer_outcome(&input.event);
@@ -295,7 +295,7 @@
             if let Some((_, outcome)) = customer_outcome {
                 self.count_outcome(request, outcome);
             }
-            self.orders.remove(&request);
+            self.open_requests.remove(&request);
         }
     }
 }
@@ -379,46 +379,46 @@
         self.log_effect(&effect);
         self.record_effect_metrics(&effect);
         match effect {
-            Effect::Send(send) => self.send_order(send.request, Order::Send(Box::new(send))),
-            Effect::Abort { request, .. } => self.send_order(request, Order::Abort),
-            Effect::Leave { request, .. } => self.send_order(request, Order::Leave),
+            Effect::Send(send) => self.send_order(send.request, Command::Send(Box::new(send))),
+            Effect::Abort { request, .. } => self.send_order(request, Command::Abort),
+            Effect::DetachStream { request, .. } => self.send_order(request, Command::Detach),
             Effect::Move(order) => {
                 if order.last {
-                    self.send_order(order.request, Order::Stopping);
+                    self.send_order(order.request, Command::Stopping);
                 }
                 self.move_run(order);
             }
-            Effect::Free(origin) => self.free_copy(origin),
-            Effect::Close { request, .. } => self.send_order(request, Order::Close),
-            Effect::Carried(_) => {}
-            Effect::Knock { backend, address } => self.knock(backend, address),
-            Effect::Keep(held) => self.keep(Write::Keep(held)),
-            Effect::Discard(content) => self.keep(Write::Discard(content)),
-            Effect::Settle {
+            Effect::FreeCopy(origin) => self.free_copy(origin),
+            Effect::CompleteStream { request, .. } => self.send_order(request, Command::Complete),
+            Effect::MoveEnded(_) => {}
+            Effect::Probe { backend, address } => self.probe_backend(backend, address),
+            Effect::StoreHeld(held) => self.write_quarantine(QuarantineWrite::Add(held)),
+            Effect::RemoveHeld(content) => self.write_quarantine(QuarantineWrite::Remove(content)),
+            Effect::WriteRollout {
                 service,
                 order,
                 standing,
-            } => self.settle(service, order, standing),
+            } => self.write_rollout_status(service, order, standing),
             Effect::Rollout(step) => log::warn!("rollout: {step}"),
             Effect::Quarantine(step) if step.is_decision() => log::warn!("quarantine: {step}"),
             Effect::Quarantine(step) => log::debug!("quarantine: {step}"),
             Effect::CloseIdle(address) => self.parts.pool.close_idle(address),
             Effect::Reply { request, reply } => {
                 self.count_reply(request, &reply);
-                self.send_final_order(request, Order::Reply(reply));
+                self.send_final_order(request, Command::Reply(reply));
             }
             Effect::Replay { request, answer } => {
-                self.send_final_order(request, Order::Replay(answer))
+                self.send_final_order(request, Command::Replay(answer))
             }
             Effect::Boxes { request, boxes, .. } => {
-                self.send_final_order(request, Order::Boxes(boxes))
+                self.send_final_order(request, Command::Boxes(boxes))
             }
             Effect::Queued { .. } | Effect::Broken { .. } | Effect::Repeat(_) => {}
-            Effect::Forget(answer) => self.parts.replay.forget(answer),
+            Effect::DeleteAnswer(answer) => self.parts.replay.remove(answer),
             Effect::Gossip { to, frame } => self.parts.links.send(to, &frame),
-            Effect::Fetch { peer, version } => self.fetch(peer, version),
+            Effect::Fetch { peer, version } => self.fetch_config(peer, version),
             Effect::FetchRoster { peer, since } => self.fetch_roster(peer, since),
-            Effect::Inventory { backend, address } => self.ask_cached(backend, address),
+            Effect::Inventory { backend, address } => self.fetch_cached_parts(backend, address),
             Effect::FollowEngine {
                 backend,
                 address,
@@ -436,7 +436,7 @@
                 );
                 self.parts.watch_store.send_replace(on);
             }
-            Effect::Adopted(version) => {
+            Effect::ConfigApplied(version) => {
                 log::info!("core: configuration {version} is in force.");
                 self.parts.metrics.version.set(version.0 as i64);
                 self.parts.current.send_replace(self.offered.clone());
@@ -449,16 +449,16 @@
         }
     }
 
-    fn send_order(&mut self, request: id::Request, order: Order) {
-        if let Some(open) = self.orders.get(&request) {
+    fn send_order(&mut self, request: id::Request, order: Command) {
+        if let Some(open) = self.open_requests.get(&request) {
             // A closed channel means that the request's task has ended; its drop handler notifies
             // the reducer.
             let _ = open.sender.send(order);
         }
     }
 
-    fn send_final_order(&mut self, request: id::Request, order: Order) {
+    fn send_final_order(&mut self, request: id::Request, order: Command) {
         self.send_order(request, order);
-        self.orders.remove(&request);
+        self.open_requests.remove(&request);
     }
 }
--- a/src/gateway/dial.rs
+++ b/src/gateway/dial.rs
@@ -20,7 +20,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{gateway::clock::Moment, platform, verdict::Verdict};
+use crate::{gateway::clock::BootInstant, platform, verdict::Verdict};
 
 /// Network distance of a peer, which sets the timeout for opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,16 +28,16 @@
     /// A peer in the same region. A connection opens within a few milliseconds, while a machine
     /// that is down does not answer at all. A lost SYN is retransmitted only after a second, so
     /// trying another peer is faster than waiting.
-    Near,
+    SameRegion,
     /// A peer in another region; the timeout is three times the longest round trip between regions.
-    Far,
+    OtherRegion,
 }
 
 impl Distance {
     fn connect_timeout(self) -> Duration {
         match self {
-            Self::Near => Duration::from_millis(150),
-            Self::Far => Duration::from_millis(400),
+            Self::SameRegion => Duration::from_millis(150),
+            Self::OtherRegion => Duration::from_millis(400),
         }
     }
 }
@@ -86,7 +86,7 @@
     sender: Sender,
     task: JoinHandle<()>,
     /// When it may no longer be reused.
-    expires: Moment,
+    expires: BootInstant,
 }
 
 impl Drop for PooledConnection {
@@ -101,7 +101,7 @@
     idle: Mutex<HashMap<SocketAddr, Vec<PooledConnection>>>,
 }
 
-/// The connection that carries a response. Dropping it closes the connection, [`Lease::give_back`]
+/// The connection that carries a response. Dropping it closes the connection, [`Lease::return_to_pool`]
 /// returns it to the pool.
 pub struct Lease {
     pool: Arc<Pool>,
@@ -112,14 +112,14 @@
 
 impl Lease {
     /// Returns the connection to the pool; the response body must have been read to its end.
-    pub fn give_back(self) {
+    pub fn return_to_pool(self) {
         let Self {
             pool,
             address,
             mut connection,
             idle,
         } = self;
-        let now = Moment::now();
+        let now = BootInstant::now();
         connection.expires = now + idle;
         let mut pools = pool.idle.lock().expect("the pool's lock is never poisoned");
         let connections = pools.entry(address).or_default();
@@ -138,7 +138,7 @@
 ///
 /// A process that exits may close its port later than its connections, so an open port is checked a
 /// second time.
-pub(crate) async fn is_closed(address: SocketAddr) -> bool {
+pub(crate) async fn is_port_closed(address: SocketAddr) -> bool {
     if refuses_connection(address).await {
         return true;
     }
@@ -148,7 +148,7 @@
 
 async fn refuses_connection(address: SocketAddr) -> bool {
     let connected = timeout(
-        Distance::Near.connect_timeout(),
+        Distance::SameRegion.connect_timeout(),
         TcpStream::connect(address),
     )
     .await;
@@ -162,7 +162,7 @@
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) | Err(_) => return Err(Failure::Unreachable),
     };
-    if let Err(error) = tune(&stream) {
+    if let Err(error) = configure_socket(&stream) {
         log::debug!("dial: {address}: {error}");
     }
     let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -175,13 +175,13 @@
     Ok(PooledConnection {
         sender,
         task,
-        expires: Moment::now(),
+        expires: BootInstant::now(),
     })
 }
 
 /// Disables Nagle's algorithm, and enables keepalive probes and the acknowledgement timeout, so
 /// that the loss of a peer is detected.
-pub(crate) fn tune(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
@@ -257,7 +257,7 @@
         }
         let mut idle = self.idle.lock().expect("the pool's lock is never poisoned");
         let connections = idle.get_mut(&address)?;
-        let now = Moment::now();
+        let now = BootInstant::now();
         while let Some(connection) = connections.pop() {
             if connection.expires > now && !connection.sender.is_closed() {
                 return Some(connection);
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -7,8 +7,8 @@
 use tokio::{net::TcpListener, sync::watch, task::JoinHandle};
 
 use crate::{
-    gateway::{Shell, body::Body, core::Order, head, serve},
-    platform::door,
+    gateway::{Shell, body::Body, core::Command, head, serve},
+    platform::lookup,
     reducer::event::Event,
     settings::Settings,
     unit::Millis,
@@ -93,17 +93,17 @@
 
 async fn answer(shell: Arc<Shell>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
-        METRICS_PATH => head::whole(StatusCode::OK, METRICS_TYPE, shell.metrics.text()),
-        door::READY_PATH => shell.readiness().await,
-        door::RESOLVE_PATH => resolve(&shell, &request).await,
-        _ => head::whole(StatusCode::NOT_FOUND, "text/plain", "no such call\n"),
+        METRICS_PATH => head::full_response(StatusCode::OK, METRICS_TYPE, shell.metrics.text()),
+        lookup::READY_PATH => shell.readiness().await,
+        lookup::RESOLVE_PATH => resolve(&shell, &request).await,
+        _ => head::full_response(StatusCode::NOT_FOUND, "text/plain", "no such call\n"),
     }
 }
 
 async fn resolve(shell: &Arc<Shell>, request: &Request<Incoming>) -> Response<Body> {
     let query = request.uri().query();
-    let host = door::host(query);
-    let region = door::region(query);
+    let host = lookup::host(query);
+    let region = lookup::region(query);
     let region = region.unwrap_or_else(|| shell.settings.region.clone());
     let request = shell.next_request();
     let mut orders = shell.core.open(Event::Resolve {
@@ -111,16 +111,16 @@
         region,
         host,
     });
-    let Some(Order::Boxes(boxes)) = orders.recv().await else {
-        return head::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
+    let Some(Command::Boxes(boxes)) = orders.recv().await else {
+        return head::full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
     };
     if boxes.is_empty() {
-        return head::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "no boxes\n");
+        return head::full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "no boxes\n");
     }
     let addresses = boxes.iter().map(|entry| entry.contact.public);
-    head::whole(
+    head::full_response(
         StatusCode::OK,
         "application/json",
-        door::answer(addresses, LOOKUP_TTL),
+        lookup::lookup_answer(addresses, LOOKUP_TTL),
     )
 }
--- a/src/gateway/engine_news.rs
+++ b/src/gateway/engine_news.rs
@@ -11,7 +11,7 @@
 use crate::{
     gateway::{core::Core, dial::Pool},
     id::{self, Incarnation},
-    memory::news::News,
+    memory::report::Report,
     platform::{call::Error, engine},
     reducer::event::Event,
 };
@@ -50,16 +50,16 @@
 
 /// Follows one engine for as long as it is polled, and passes its list, its events and failed calls
 /// to `report`.
-pub async fn follow(pool: &Arc<Pool>, address: SocketAddr, report: impl Fn(Result<News, Error>)) {
+pub async fn follow(pool: &Arc<Pool>, address: SocketAddr, report: impl Fn(Result<Report, Error>)) {
     let mut backoff = Backoff::new();
     loop {
         let started = Instant::now();
         match engine::list_cached(pool, address).await {
             Ok(listing) => {
                 backoff = Backoff::new();
-                report(Ok(News::All(listing.parts)));
+                report(Ok(Report::All(listing.parts)));
                 if poll_events(pool, address, listing.cursor, &report).await == RelistReason::Gap {
-                    report(Ok(News::Gap));
+                    report(Ok(Report::Gap));
                 }
                 sleep_until(started + LIST_INTERVAL).await;
             }
@@ -76,7 +76,7 @@
     pool: &Arc<Pool>,
     address: SocketAddr,
     mut cursor: engine::Cursor,
-    report: &impl Fn(Result<News, Error>),
+    report: &impl Fn(Result<Report, Error>),
 ) -> RelistReason {
     let listed_at = Instant::now();
     let mut backoff = Backoff::new();
@@ -87,7 +87,7 @@
             Ok(page) => {
                 backoff = Backoff::new();
                 cursor = page.cursor;
-                report(Ok(News::Changes(page.changes)));
+                report(Ok(Report::Changes(page.changes)));
                 sleep_until(started + CALL_INTERVAL).await;
             }
             Err(error) => {
@@ -114,8 +114,8 @@
         let (pool, metrics) = (self.parts.pool.clone(), self.parts.metrics.clone());
         let name = backend.clone();
         let task = tokio::spawn(async move {
-            let report = |news: Result<News, Error>| {
-                let kind = news.as_ref().map_or("failed", News::kind);
+            let report = |news: Result<Report, Error>| {
+                let kind = news.as_ref().map_or("failed", Report::kind);
                 metrics.engine_news.with_label_values(&[kind]).inc();
                 let news = match news {
                     Ok(news) => news,
@@ -124,13 +124,13 @@
                     }
                 };
                 match &news {
-                    News::All(parts) => {
+                    Report::All(parts) => {
                         log::info!("engine: backend={backend} parts={}", parts.len());
                     }
-                    News::Gap => log::warn!("engine: backend={backend} events were missed"),
-                    News::Changes(_) => {}
+                    Report::Gap => log::warn!("engine: backend={backend} events were missed"),
+                    Report::Changes(_) => {}
                 }
-                handle.tell(Event::EngineNews {
+                handle.tell(Event::EngineReport {
                     backend: backend.clone(),
                     incarnation,
                     news,
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -156,7 +156,7 @@
     }
 
     /// Returns the id of the last complete event that has one.
-    pub fn last(&self) -> Option<&str> {
+    pub fn last_id(&self) -> Option<&str> {
         self.last.as_deref()
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -19,8 +19,8 @@
         attempt::{AttemptFailure, Prepared, Upstream, try_once},
         body::Body,
         checksum::Checksum,
-        clock::Moment,
-        core::{Handle, Order},
+        clock::BootInstant,
+        core::{Command, Handle},
         head, pack,
         read::{self, deny},
         replay::{Answer, MAX_ANSWER_BYTES},
@@ -45,7 +45,7 @@
 
 /// The listener that received a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Door {
+pub(crate) enum Ingress {
     Public,
     Peer,
 }
@@ -73,7 +73,7 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.armed {
-            self.core.tell(Event::Gone(self.request));
+            self.core.tell(Event::Disconnected(self.request));
         }
     }
 }
@@ -82,18 +82,18 @@
 pub(crate) async fn serve(
     shell: Arc<Shell>,
     request: Request<Incoming>,
-    door: Door,
+    door: Ingress,
 ) -> Response<Body> {
     let name = match door {
-        Door::Public => "receive",
-        Door::Peer => "receive relayed",
+        Ingress::Public => "receive",
+        Ingress::Peer => "receive relayed",
     };
     let span = shell.tracer.receive(name, request.headers());
     let (parts, body) = request.into_parts();
     let mut incoming = Inbound { parts, body };
     let result = match door {
-        Door::Public => serve_public(&shell, &mut incoming, &span).await,
-        Door::Peer => serve_peer(&shell, &mut incoming, &span).await,
+        Ingress::Public => serve_public(&shell, &mut incoming, &span).await,
+        Ingress::Peer => serve_peer(&shell, &mut incoming, &span).await,
     };
     if !incoming.body.is_end_stream() {
         tokio::spawn(discard(incoming.body));
@@ -105,7 +105,8 @@
         let relayed = headers
             .get(head::HOP)
             .is_some_and(|hop| hop == head::HOP_RELAY);
-        let keyed = headers.contains_key(head::IDEMPOTENCY_KEY) && !(door == Door::Peer && relayed);
+        let keyed =
+            headers.contains_key(head::IDEMPOTENCY_KEY) && !(door == Ingress::Peer && relayed);
         let verdict = if keyed {
             Verdict::MayHaveRun
         } else {
@@ -113,8 +114,8 @@
         };
         answer_reply(&shell, &Reply { verdict, ..reply })
     });
-    span.note("http.response.status_code", response.status().as_u16());
-    let checked = door == Door::Peer && incoming.parts.headers.contains_key(head::CHECKED);
+    span.set_attribute("http.response.status_code", response.status().as_u16());
+    let checked = door == Ingress::Peer && incoming.parts.headers.contains_key(head::CHECKED);
     if checked {
         response = head::with_records(response, &incoming.parts.method);
     }
@@ -127,7 +128,7 @@
     }
     if shell.is_stopping() {
         platform::head::close(headers);
-        if door == Door::Peer {
+        if door == Ingress::Peer {
             headers.insert(head::LEAVING, head::value(true));
         }
     }
@@ -142,7 +143,7 @@
     shell.metrics.replies.with_label_values(&labels).inc();
     let prefix = reply
         .offer_key
-        .then(|| shell.own_pin().prefix(&shell.settings.cluster_secret));
+        .then(|| shell.new_pin().prefix(&shell.settings.cluster_secret));
     head::problem(reply, prefix.as_deref(), shell.settings.interface)
 }
 
@@ -161,12 +162,14 @@
         return forward(shell, inbound, credential, Hop::Direct, span).await;
     }
     match inbound.parts.uri.path() {
-        "/petreldrum/health" => return Ok(head::whole(StatusCode::OK, "text/plain", "alive\n")),
+        "/petreldrum/health" => {
+            return Ok(head::full_response(StatusCode::OK, "text/plain", "alive\n"));
+        }
         "/petreldrum/ready" => return Ok(shell.readiness().await),
         "/petreldrum/ask" => return ask::answer(shell, credential).await,
         _ => {}
     }
-    shell.known(&credential)?;
+    shell.check_credential(&credential)?;
     forward(shell, inbound, credential, Hop::Direct, span).await
 }
 
@@ -177,23 +180,31 @@
 ) -> Result<Response<Body>, Reply> {
     let headers = &inbound.parts.headers;
     let secret = headers.get(head::SECRET).map(|v| v.as_bytes());
-    if !secret.is_some_and(|s| shell.is_secret(s)) {
+    if !secret.is_some_and(|s| shell.is_cluster_secret(s)) {
         return Err(deny(403, "this listener is for boxes of the system"));
     }
     if inbound.parts.uri.path() == head::CONFIG_PATH {
         let current = shell.current.borrow().clone();
         let current = current.ok_or_else(|| deny(404, "no configuration is in force"))?;
         shell.metrics.count_sent("config", current.packed.len());
-        return Ok(head::whole(StatusCode::OK, pack::TYPE, current.packed));
+        return Ok(head::full_response(
+            StatusCode::OK,
+            pack::CONTENT_TYPE,
+            current.packed,
+        ));
     }
-    if inbound.parts.uri.path() == head::ROSTER_PATH {
-        let since = head::roster_since(inbound.parts.uri.query());
+    if inbound.parts.uri.path() == head::SERVER_LIST_PATH {
+        let since = head::server_list_since(inbound.parts.uri.query());
         let packed = shell.packed_roster(since).await;
         let packed = packed.map_err(|error| deny(500, &format!("{error:#}")))?;
         let packed = packed.ok_or_else(|| deny(404, "no list of backend servers is known"))?;
         let kind = since.map_or("list", |_| "changes");
         shell.metrics.count_sent(kind, packed.len());
-        return Ok(head::whole(StatusCode::OK, pack::TYPE, packed));
+        return Ok(head::full_response(
+            StatusCode::OK,
+            pack::CONTENT_TYPE,
+            packed,
+        ));
     }
     let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
     let customer = text(head::CUSTOMER).and_then(|name| name.parse().ok());
@@ -203,7 +214,7 @@
         (Some(head::HOP_PASS), _) => Hop::Pass,
         _ => return Err(deny(400, "the relayed request names no hop")),
     };
-    forward(shell, inbound, Credential::Vouched(customer), hop, span).await
+    forward(shell, inbound, Credential::Verified(customer), hop, span).await
 }
 
 /// Reads a request, submits it to the reducer and carries out the reducer's orders.
@@ -214,15 +225,15 @@
     hop: Hop,
     span: &Span,
 ) -> Result<Response<Body>, Reply> {
-    let received_at = Moment::now();
+    let received_at = BootInstant::now();
     let label = match hop {
         Hop::Direct => "direct",
         Hop::Relay(_) => "relay",
         Hop::Pass => "pass",
     };
     let door = match hop {
-        Hop::Direct => Door::Public,
-        Hop::Relay(_) | Hop::Pass => Door::Peer,
+        Hop::Direct => Ingress::Public,
+        Hop::Relay(_) | Hop::Pass => Ingress::Peer,
     };
     shell.metrics.requests.with_label_values(&[label]).inc();
     let parts = &inbound.parts;
@@ -239,7 +250,7 @@
     let headers = &parts.headers;
     let attributes = read::read_attributes(shell, parts, &uri, &body, door)?;
     let id = shell.next_request();
-    span.note("request", id);
+    span.set_attribute("request", id);
     let arrival = Arrival {
         request: id,
         tag: head::caller_request_id(headers),
@@ -251,7 +262,9 @@
         prompt: attributes.prompt,
         content: attributes.content,
         draw: rand::random(),
-        runs: (door == Door::Peer).then(|| head::runs(headers)).flatten(),
+        runs: (door == Ingress::Peer)
+            .then(|| head::runs(headers))
+            .flatten(),
         key: attributes.key,
         left: attributes.time_left,
         hop,
@@ -294,7 +307,7 @@
     shell: Arc<Shell>,
     prepared: Arc<Prepared>,
     request: id::Request,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    mut orders: mpsc::UnboundedReceiver<Command>,
 ) -> Result<Response<Body>, Reply> {
     // The last error response of a backend server, returned if no attempt succeeds.
     let mut error: Option<(Send, Box<Upstream>)> = None;
@@ -303,14 +316,14 @@
             return Err(task_failed());
         };
         let send = match order {
-            Order::Send(send) => *send,
-            Order::Abort | Order::Leave | Order::Stopping | Order::Close => continue,
-            Order::Reply(reply) => {
+            Command::Send(send) => *send,
+            Command::Abort | Command::Detach | Command::Stopping | Command::Complete => continue,
+            Command::Reply(reply) => {
                 let (send, upstream) = error.ok_or(reply)?;
                 return Ok(build_response(&shell, &prepared, &send, *upstream, orders));
             }
-            Order::Replay(answer) => return replay_response(&shell, answer),
-            Order::Boxes(_) => return Err(task_failed()),
+            Command::Replay(answer) => return replay_response(&shell, answer),
+            Command::Boxes(_) => return Err(task_failed()),
         };
         let attempt = send.attempt;
         tokio::select! {
@@ -335,8 +348,8 @@
             order = orders.recv() => match order {
                 // Dropping the attempt closes its connection, which cancels the request at the
                 // target.
-                Some(Order::Abort | Order::Leave) => {}
-                Some(Order::Reply(reply)) => return Err(reply),
+                Some(Command::Abort | Command::Detach) => {}
+                Some(Command::Reply(reply)) => return Err(reply),
                 _ => return Err(task_failed()),
             },
         }
@@ -361,7 +374,7 @@
     prepared: &Arc<Prepared>,
     send: &Send,
     upstream: Upstream,
-    orders: mpsc::UnboundedReceiver<Order>,
+    orders: mpsc::UnboundedReceiver<Command>,
 ) -> Response<Body> {
     let (verdict, region) = match &send.target {
         Target::Backend { .. } => (Verdict::Ran, shell.settings.region.clone()),
@@ -377,7 +390,7 @@
     let status = upstream.response.status();
     let mut headers = head::forwarded_response(upstream.response.headers().clone());
     let platform = shell.settings.interface == Interface::Platform;
-    if prepared.door == Door::Peer || !platform {
+    if prepared.door == Ingress::Peer || !platform {
         headers.insert(head::VERDICT, head::value(verdict));
         headers.insert(head::REGION, head::value(region));
     }
@@ -389,7 +402,7 @@
     let can_resume = send.resumable || send.movable;
     let can_resume = can_resume && !upstream.response.headers().contains_key(CONTENT_LENGTH);
     let resume = can_resume.then(|| Resume::new(shell.clone(), prepared.clone(), send.resumable));
-    let pulse = shell.signs.pulse(&send.target);
+    let pulse = shell.signs.recorder(&send.target);
     let received_at = prepared.received_at;
     let metrics = shell.metrics.clone();
     let mut stream = Stream::new(upstream, core, metrics, orders, source, received_at, resume);
@@ -435,7 +448,7 @@
                     // Stored before the end is reported, so that a re-send always finds it.
                     if let Some(all) = buffered {
                         answer.body = all.into();
-                        shell.replay.keep(request, answer);
+                        shell.replay.insert(request, answer);
                     }
                     return stream.end(true);
                 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -40,7 +40,7 @@
         Ok(current) => core.offer(current, source),
         Err(error) => {
             log::error!("config: {version} is invalid:\n{error:#}");
-            core.unreadable(version);
+            core.report_invalid_config(version);
         }
     }
 }
@@ -49,7 +49,7 @@
     let envelope = &record.envelope;
     let config = match settings.interface {
         Interface::Own => Config::parse(&format!("configuration {}", envelope.version), envelope)?,
-        Interface::Platform => platform::record::config(envelope, &settings.places)?,
+        Interface::Platform => platform::record::parse_config(envelope, &settings.places)?,
     };
     Ok(Current {
         packed: pack::pack(&Parcel::from(record.clone()))?,
@@ -121,7 +121,7 @@
         .header(head::SECRET, secret.expose())
         .body(Full::default())?;
     let exchange = async {
-        let sent = pool.send(peer, request, false, Distance::Far).await;
+        let sent = pool.send(peer, request, false, Distance::OtherRegion).await;
         let (response, lease) = sent.map_err(|f| eyre!("{f:?}"))?;
         if !response.status().is_success() {
             bail!("status {}", response.status());
@@ -130,7 +130,7 @@
             .collect()
             .await;
         let bytes = body.map_err(|e| eyre!("{e}"))?.to_bytes();
-        lease.give_back();
+        lease.return_to_pool();
         pack::unpack(&bytes)
     };
     let fetched = timeout(FETCH_TIMEOUT, exchange).await;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    gateway::{core::Handle, dial::tune, metrics::Metrics},
+    gateway::{core::Handle, dial::configure_socket, metrics::Metrics},
     reducer::event::Event,
     settings::Secret,
     wire::Frame,
@@ -79,7 +79,7 @@
             match Frame::decode(&secret, message.as_slice()) {
                 Ok(frame) => {
                     metrics.count_received(frame.body.kind(), message.len());
-                    core.tell(Event::Heard(frame));
+                    core.tell(Event::Received(frame));
                 }
                 Err(error) => {
                     metrics.count_received("unreadable", message.len());
@@ -118,7 +118,7 @@
 /// Connects to a PULL socket and exchanges greetings with it.
 async fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(to).await?;
-    tune(&stream)?;
+    configure_socket(&stream)?;
     stream.write_all(&PUSH_GREETING).await?;
     let mut greeting = [0; PULL_GREETING.len()];
     stream.read_exact(&mut greeting).await?;
--- a/src/gateway/head.rs
+++ b/src/gateway/head.rs
@@ -18,7 +18,7 @@
 /// States whether the request may have run; set on responses.
 pub const VERDICT: &str = "petreldrum-verdict";
 /// Milliseconds left until the response must have begun.
-pub const LEFT: &str = "petreldrum-deadline-ms";
+pub const DEADLINE_MS: &str = "petreldrum-deadline-ms";
 /// The box that answered the request.
 pub const BOX: &str = "petreldrum-box";
 /// The region whose backend server answered.
@@ -56,19 +56,19 @@
 /// The path at which a box serves its configuration to other boxes.
 pub const CONFIG_PATH: &str = "/petreldrum/config";
 /// The path at which a box serves its list of registered backend servers to other boxes.
-pub const ROSTER_PATH: &str = "/petreldrum/roster";
+pub const SERVER_LIST_PATH: &str = "/petreldrum/roster";
 /// The query parameter with the revision of the list that the requesting box already has.
 const SINCE: &str = "since";
 
 /// Returns the path of the list of backend servers, or of its changes after `since`.
-pub fn roster_path(since: Option<Revision>) -> String {
+pub fn server_list_path(since: Option<Revision>) -> String {
     let query = since.map(|revision| format!("?{SINCE}={revision}"));
-    ROSTER_PATH.to_owned() + &query.unwrap_or_default()
+    SERVER_LIST_PATH.to_owned() + &query.unwrap_or_default()
 }
 
 /// Reads the revision that the requesting box already has.
-pub fn roster_since(query: Option<&str>) -> Option<Revision> {
-    let since = platform::door::value(query, SINCE)?;
+pub fn server_list_since(query: Option<&str>) -> Option<Revision> {
+    let since = platform::lookup::query_value(query, SINCE)?;
     since.parse().ok()
 }
 
@@ -110,7 +110,7 @@
             headers.remove(HOST);
             headers.remove(API_KEY);
         }
-        Interface::Platform => platform::head::strip(&mut headers),
+        Interface::Platform => platform::head::remove_system_headers(&mut headers),
     }
     headers
 }
@@ -147,7 +147,13 @@
 
 /// Returns the time left according to `headers`; an invalid value counts as absent.
 pub(crate) fn time_left(headers: &HeaderMap) -> Option<Millis> {
-    headers.get(LEFT)?.to_str().ok()?.parse().ok().map(Millis)
+    headers
+        .get(DEADLINE_MS)?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()
+        .map(Millis)
 }
 
 /// Returns the caller's request id.
@@ -185,7 +191,7 @@
 /// did not run, and are replaced by 502 if it may have.
 fn status(reply: &Reply, interface: Interface) -> StatusCode {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let promises_not_run = platform::head::PROMISES.contains(&status);
+    let promises_not_run = platform::head::NOT_RUN_STATUSES.contains(&status);
     match interface {
         Interface::Platform if promises_not_run && !reply.verdict.is_not_run() => {
             StatusCode::BAD_GATEWAY
@@ -211,7 +217,7 @@
     if let Some(prefix) = key_prefix {
         content["key_prefix"] = json!(prefix);
     }
-    let mut response = whole(status, "application/problem+json", content.to_string());
+    let mut response = full_response(status, "application/problem+json", content.to_string());
     let headers = response.headers_mut();
     headers.insert(VERDICT, value(reply.verdict));
     if let Some(wait) = reply.retry_after {
@@ -244,7 +250,7 @@
 }
 
 /// Builds a response whose body is complete in memory.
-pub(crate) fn whole(
+pub(crate) fn full_response(
     status: StatusCode,
     content_type: &'static str,
     content: impl Into<Bytes>,
@@ -257,12 +263,12 @@
 }
 
 /// Builds a JSON response.
-pub(crate) fn json_answer(status: StatusCode, content: &impl serde::Serialize) -> Response<Body> {
+pub(crate) fn json_response(status: StatusCode, content: &impl serde::Serialize) -> Response<Body> {
     match serde_json::to_vec(content) {
-        Ok(bytes) => whole(status, "application/json", bytes),
+        Ok(bytes) => full_response(status, "application/json", bytes),
         Err(error) => {
             log::error!("http: cannot serialize a response: {error}");
-            whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
+            full_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
         }
     }
 }
--- a/src/gateway/list.rs
+++ b/src/gateway/list.rs
@@ -70,7 +70,9 @@
     let request = Request::get(PATH)
         .header("host", address.to_string())
         .body(Full::default())?;
-    let sent = pool.send(address, request, false, Distance::Far).await;
+    let sent = pool
+        .send(address, request, false, Distance::OtherRegion)
+        .await;
     let (response, lease) = sent.map_err(|f| eyre!("{address}: {f:?}"))?;
     if !response.status().is_success() {
         bail!("{address}: status {}", response.status());
@@ -79,7 +81,7 @@
         .collect()
         .await;
     let bytes = body.map_err(|e| eyre!("{e}"))?.to_bytes();
-    lease.give_back();
+    lease.return_to_pool();
     let list: List = serde_json::from_slice(&bytes).wrap_err("cannot parse the list of boxes")?;
     let leaving = list
         .boxes
--- a/src/gateway/signs.rs
+++ b/src/gateway/liveness.rs
@@ -12,14 +12,14 @@
 };
 
 use crate::{
-    gateway::clock::Moment,
+    gateway::clock::BootInstant,
     id,
     reducer::{effect::Target, event},
     unit::Millis,
-    wire::Short,
+    wire::NameHash,
 };
 
-/// The activity on all streams of one backend server since the last [`Signs::take`].
+/// The activity on all streams of one backend server since the last [`Liveness::drain`].
 #[derive(Debug, Default)]
 struct Activity {
     active: AtomicBool,
@@ -29,20 +29,20 @@
 
 /// Records the activity of one stream for its backend server.
 #[derive(Debug)]
-pub(crate) struct Pulse {
+pub(crate) struct Recorder {
     activity: Arc<Activity>,
-    last_received: Moment,
+    last_received: BootInstant,
 }
 
-impl Pulse {
+impl Recorder {
     /// Records that the answer begins at `now`; the time before it does not count as a pause.
-    pub(crate) fn begin(&mut self, now: Moment) {
+    pub(crate) fn record_start(&mut self, now: BootInstant) {
         self.last_received = now;
         self.activity.active.store(true, Relaxed);
     }
 
     /// Records a chunk received at `now`.
-    pub(crate) fn note(&mut self, now: Moment) {
+    pub(crate) fn record_chunk(&mut self, now: BootInstant) {
         let pause = (now - self.last_received).as_millis() as u64;
         self.last_received = now;
         self.activity.pause_ms.fetch_max(pause, Relaxed);
@@ -52,10 +52,10 @@
 
 /// The activity of all backend servers that have open streams.
 #[derive(Debug, Default)]
-pub(crate) struct Signs(Mutex<HashMap<Short, Arc<Activity>>>);
+pub(crate) struct Liveness(Mutex<HashMap<NameHash, Arc<Activity>>>);
 
-impl Signs {
-    fn lock(&self) -> MutexGuard<'_, HashMap<Short, Arc<Activity>>> {
+impl Liveness {
+    fn lock(&self) -> MutexGuard<'_, HashMap<NameHash, Arc<Activity>>> {
         // Each change of the map is complete in itself, so it stays valid if a holder of the lock
         // panics.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -63,26 +63,26 @@
 
     /// Returns a recorder for a stream that begins at `target`; `None` for other boxes, which
     /// observe their backend servers themselves.
-    pub(crate) fn pulse(&self, target: &Target) -> Option<Pulse> {
+    pub(crate) fn recorder(&self, target: &Target) -> Option<Recorder> {
         let Target::Backend { name, .. } = target else {
             return None;
         };
-        let short = Short::of(id::Backend::as_str(name));
+        let short = NameHash::of(id::Backend::as_str(name));
         let activity = self.lock().entry(short).or_default().clone();
-        let last_received = Moment::now();
-        Some(Pulse {
+        let last_received = BootInstant::now();
+        Some(Recorder {
             activity,
             last_received,
         })
     }
 
     /// Returns the activity since the last call and forgets backend servers without open streams.
-    pub(crate) fn take(&self) -> Vec<event::Sign> {
+    pub(crate) fn drain(&self) -> Vec<event::Activity> {
         let mut activities = self.lock();
         let mut heard = Vec::new();
         activities.retain(|backend, activity| {
             if activity.active.swap(false, Relaxed) {
-                heard.push(event::Sign {
+                heard.push(event::Activity {
                     backend: *backend,
                     pause: Millis(activity.pause_ms.swap(0, Relaxed)),
                 });
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     reducer::{
-        effect::{Carried, End},
+        effect::{MoveOutcome, MoveReport},
         status::{Allotted, Repeats, Rollout},
     },
     retry::Outcome,
@@ -417,12 +417,12 @@
     }
 
     /// Counts the outcome of a move of a run.
-    pub(crate) fn count_move(&self, carried: &Carried) {
+    pub(crate) fn count_move(&self, carried: &MoveReport) {
         let label = [carried.end.name()];
         self.moves.with_label_values(&label).inc();
         let tokens = self.moved_tokens.with_label_values(&label);
         tokens.inc_by(u64::from(carried.tokens));
-        if matches!(carried.end, End::There | End::Back) {
+        if matches!(carried.end, MoveOutcome::Moved | MoveOutcome::Returned) {
             let took = carried.took.duration().as_secs_f64();
             self.move_seconds.observe(took);
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,9 +10,9 @@
 //! | `gossip` | messages between boxes over nng |
 //! | `store`, `follow`, `list` | the platform, through the gateway's own interface |
 //! | [`sync`], `directory` | the platform, through the users' interface |
-//! | `signs` | liveness of backend servers, observed on response streams |
+//! | `liveness` | liveness of backend servers, observed on response streams |
 //! | [`admin`], [`order`] | the admin API, and roll-outs that operators start and stop |
-//! | `worst` | the customers with the worst service on this box |
+//! | `worst_customers` | the customers with the worst service on this box |
 //! | `repeats` | usage of the retry budgets |
 //! | `report`, [`lines`] | request logging and metrics, and the non-blocking log writer |
 //! | `metrics`, `trace`, `clock`, `replay`, [`pack`] | supporting modules |
@@ -29,18 +29,18 @@
 pub(crate) mod dial;
 mod directory;
 pub mod engine_news;
-mod errand;
 pub mod events;
 mod exchange;
 mod follow;
 mod framing;
 mod gossip;
 mod head;
-mod keep;
 pub mod lines;
 mod list;
+mod liveness;
 mod metrics;
 pub mod order;
+mod outbound;
 pub mod pack;
 mod read;
 pub mod records;
@@ -50,12 +50,12 @@
 mod resume;
 mod serve;
 mod shell;
-mod signs;
 mod store;
+mod store_writes;
 mod stream;
 pub mod sync;
 mod trace;
-mod worst;
+mod worst_customers;
 
 use std::{
     fmt,
@@ -80,15 +80,15 @@
     clock::Clock,
     core::{Handle, Parts},
     dial::Pool,
+    liveness::Liveness,
     metrics::Metrics,
     replay::Replay,
     shell::Shell,
-    signs::Signs,
     store::Store,
     trace::Tracer,
 };
 
-pub use self::head::{IDEMPOTENCY_KEY, KEY_PREFIX, LEFT, REGION, VERDICT};
+pub use self::head::{DEADLINE_MS, IDEMPOTENCY_KEY, KEY_PREFIX, REGION, VERDICT};
 
 /// Interval at which a stopping box checks whether any requests are still in flight.
 const STOP_POLL: Duration = Duration::from_millis(50);
@@ -173,7 +173,7 @@
         self.current.retry = retry;
         if size != self.current.size {
             log::info!("settings: size {size}, previously {}.", self.current.size);
-            self.core.tell(Event::Sized(size.weight()));
+            self.core.tell(Event::WeightChanged(size.weight()));
         }
         self.current.size = size;
         log::info!("settings: reloaded, seeds={} retry={retry:?}.", seeds.len());
@@ -185,7 +185,7 @@
     }
 
     /// Reports whether `settings` differ from those applied last.
-    pub fn is_news(&self, settings: &Settings) -> bool {
+    pub fn differs(&self, settings: &Settings) -> bool {
         self.current != *settings
     }
 }
@@ -250,12 +250,12 @@
         })
         .await;
         log::info!("settings: size {}.", settings.size);
-        core.tell(Event::Sized(settings.size.weight()));
+        core.tell(Event::WeightChanged(settings.size.weight()));
         gossip::listen(gossip, secret, core.clone(), metrics.clone());
         match settings.interface {
             Interface::Own => start_store_follower(&settings, &store, &core, &watch_store_rx),
             Interface::Platform => {
-                let duty = sync::Duty {
+                let duty = sync::Role {
                     boxes: boxes_rx,
                     follow: follow_rx,
                 };
@@ -270,9 +270,12 @@
                 watch_store_rx,
             ));
         }
-        let signs = Arc::<Signs>::default();
+        let signs = Arc::<Liveness>::default();
         tokio::spawn(tick(core.clone(), signs.clone()));
-        let body_permits = settings.body_memory.0.div_ceil(read::PIECE);
+        let body_permits = settings
+            .body_memory
+            .0
+            .div_ceil(read::BODY_MEMORY_UNIT_BYTES);
         let shell = Arc::new(Shell {
             bodies: Arc::new(Semaphore::new(body_permits as usize)),
             settings,
@@ -418,7 +421,7 @@
         let shell = shell.clone();
         move |request| admin::serve(shell.clone(), request)
     };
-    use exchange::Door::{Peer, Public};
+    use exchange::Ingress::{Peer, Public};
     vec![
         tokio::spawn(serve::run(
             public,
@@ -444,14 +447,14 @@
     ]
 }
 
-async fn tick(core: Handle, signs: Arc<Signs>) {
+async fn tick(core: Handle, signs: Arc<Liveness>) {
     let mut ticks = interval(TICK.duration());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let alive = signs.take();
+        let alive = signs.drain();
         if !alive.is_empty() {
-            core.tell(Event::Alive(alive));
+            core.tell(Event::StreamsActive(alive));
         }
         core.tell(Event::Tick);
     }
--- a/src/gateway/order.rs
+++ b/src/gateway/order.rs
@@ -23,7 +23,7 @@
     id::{Release, Service},
     reducer::{
         event::{Event, Source},
-        order::{Ask, Refusal, Survey, check_standing, check_stop},
+        order::{Refusal, Request, Survey, check_open_order, check_stop},
     },
     rollout::{Entry, Order, Standing, Written},
     settings::{Interface, Settings},
@@ -93,14 +93,14 @@
 }
 
 /// Writes roll-outs and their state to the store.
-pub(super) struct Desk {
+pub(super) struct Writer {
     pub(super) store: Store,
     pub(super) core: Handle,
     pub(super) settings: Arc<Settings>,
     pub(super) current: watch::Receiver<Option<Current>>,
 }
 
-impl Desk {
+impl Writer {
     pub(super) fn of(shell: &Shell) -> Self {
         Self {
             store: shell.store.clone(),
@@ -111,7 +111,7 @@
     }
 
     /// Starts a roll-out.
-    pub(super) async fn start(&self, author: &str, ask: &Ask) -> Outcome {
+    pub(super) async fn start(&self, author: &str, ask: &Request) -> Outcome {
         if let Err(outcome) = self.require_own_interface() {
             return outcome;
         }
@@ -123,7 +123,7 @@
         let checked = survey.check(ask, &closed);
         let edit = |rollouts: &mut Rollouts, version| {
             // The stored roll-out is checked first: it gives the more specific reason of a refusal.
-            check_standing(rollouts.get(&ask.service), ask)?;
+            check_open_order(rollouts.get(&ask.service), ask)?;
             checked.clone()?;
             let entry = rollouts.entry(ask.service.clone()).or_default();
             entry.order = Some(Order {
@@ -166,7 +166,7 @@
 
     /// Writes the state of a roll-out, unless its end is already written or a different order has
     /// replaced it. If no update shows the new state, the reducer requests the write again.
-    pub(super) async fn settle(&self, service: Service, order: Order, standing: Standing) {
+    pub(super) async fn write_state(&self, service: Service, order: Order, standing: Standing) {
         let edit = |rollouts: &mut Rollouts, version| {
             let entry = rollouts.get_mut(&service);
             let same_order = entry.filter(|entry| entry.order.as_ref() == Some(&order));
@@ -244,7 +244,7 @@
             }
             match self.store.swap(stored.revision, &record).await {
                 Ok(Swap::Done) => return self.accepted(record),
-                Ok(Swap::Lost) => {}
+                Ok(Swap::Conflict) => {}
                 Err(error) => {
                     log::warn!("rollout: the store did not confirm a write: {error:#}.");
                     return self.confirm_write(&stored, record).await;
@@ -307,7 +307,7 @@
 async fn closed_addresses(addresses: impl Iterator<Item = SocketAddr>) -> BTreeSet<SocketAddr> {
     let mut probes = JoinSet::new();
     for address in addresses {
-        probes.spawn(async move { dial::is_closed(address).await.then_some(address) });
+        probes.spawn(async move { dial::is_port_closed(address).await.then_some(address) });
     }
     let results = probes.join_all().await;
     results.into_iter().flatten().collect()
--- a/src/gateway/errand.rs
+++ b/src/gateway/outbound.rs
@@ -9,8 +9,8 @@
     gateway::{
         core::Core,
         dial, follow, head,
-        keep::{self, Write},
-        order::Desk,
+        order::Writer,
+        store_writes::{self, QuarantineWrite},
     },
     id,
     platform::engine,
@@ -29,7 +29,7 @@
         let (pool, settings) = (self.parts.pool.clone(), self.parts.settings.clone());
         tokio::spawn(async move {
             let secret = &settings.cluster_secret;
-            let path = head::roster_path(since);
+            let path = head::server_list_path(since);
             match follow::fetch::<Roster>(&pool, peer, &path, secret).await {
                 Ok(roster) => {
                     let (servers, evacuated) = (roster.backends.len(), roster.evacuated.len());
@@ -39,7 +39,7 @@
                     log::info!(
                         "peers: {peer} tells of {servers} backend servers, {what}, gone={} \
                          evacuated={evacuated} store={}",
-                        roster.gone.len(),
+                        roster.removed.len(),
                         roster.revision
                     );
                     handle.tell(Event::Roster(roster));
@@ -50,51 +50,62 @@
     }
 
     /// Writes to the platform's store, if one is configured.
-    pub(super) fn keep(&self, write: Write) {
+    pub(super) fn write_quarantine(&self, write: QuarantineWrite) {
         let Some(store) = self.parts.settings.stores.first() else {
             return;
         };
-        tokio::spawn(keep::write(*store, self.parts.pool.clone(), write));
+        tokio::spawn(store_writes::write_quarantine(
+            *store,
+            self.parts.pool.clone(),
+            write,
+        ));
     }
 
     /// Writes the state of a roll-out to the store: with our own interface into the configuration
     /// record, with the platform's under its status key.
-    pub(super) fn settle(&self, service: id::Service, order: Order, standing: Standing) {
+    pub(super) fn write_rollout_status(
+        &self,
+        service: id::Service,
+        order: Order,
+        standing: Standing,
+    ) {
         if self.parts.settings.interface == Interface::Own {
             let Some(core) = self.handle.clone() else {
                 return;
             };
-            let desk = Desk {
+            let desk = Writer {
                 store: self.parts.store.clone(),
                 settings: self.parts.settings.clone(),
                 current: self.parts.current.subscribe(),
                 core,
             };
-            tokio::spawn(async move { desk.settle(service, order, standing).await });
+            tokio::spawn(async move { desk.write_state(service, order, standing).await });
             return;
         }
         let Some(store) = self.parts.settings.stores.first() else {
             return;
         };
         let pool = self.parts.pool.clone();
-        tokio::spawn(keep::settle(*store, pool, service, order, standing));
+        tokio::spawn(store_writes::write_rollout_status(
+            *store, pool, service, order, standing,
+        ));
     }
 
     /// Probes whether a backend server's process has ended, by whether its port is closed.
-    pub(super) fn knock(&self, backend: id::Backend, address: SocketAddr) {
+    pub(super) fn probe_backend(&self, backend: id::Backend, address: SocketAddr) {
         let Some(handle) = self.handle.clone() else {
             return;
         };
         tokio::spawn(async move {
-            let closed = dial::is_closed(address).await;
+            let closed = dial::is_port_closed(address).await;
             log::info!("knock: backend={backend} closed={closed}");
-            handle.tell(Event::Knocked { backend, closed });
+            handle.tell(Event::Probed { backend, closed });
         });
     }
 
     /// Asks an engine which parts of prompts it has cached; without an answer they count as
     /// unknown.
-    pub(super) fn ask_cached(&self, backend: id::Backend, address: SocketAddr) {
+    pub(super) fn fetch_cached_parts(&self, backend: id::Backend, address: SocketAddr) {
         let Some(handle) = self.handle.clone() else {
             return;
         };
@@ -103,7 +114,7 @@
             match engine::cached_parts(&pool, address).await {
                 Ok(parts) => {
                     log::info!("cache: backend={backend} parts={}", parts.len());
-                    handle.tell(Event::Cached { backend, parts });
+                    handle.tell(Event::Inventory { backend, parts });
                 }
                 Err(error) => log::warn!("cache: backend={backend} cached parts unknown: {error}"),
             }
@@ -111,7 +122,7 @@
     }
 
     /// Fetches a newer configuration from another box.
-    pub(super) fn fetch(&self, peer: SocketAddr, version: Version) {
+    pub(super) fn fetch_config(&self, peer: SocketAddr, version: Version) {
         let Some(handle) = self.handle.clone() else {
             return;
         };
--- a/src/gateway/pack.rs
+++ b/src/gateway/pack.rs
@@ -9,7 +9,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// The content type of packed content.
-pub const TYPE: &str = "application/gzip";
+pub const CONTENT_TYPE: &str = "application/gzip";
 /// Largest decompressed content, in bytes: some 45,000 backend servers.
 const MAX_UNPACKED_BYTES: u64 = 4 << 20;
 
--- a/src/gateway/read.rs
+++ b/src/gateway/read.rs
@@ -16,7 +16,7 @@
 use crate::{
     config::Kind,
     content::Content,
-    gateway::{Shell, exchange::Door, head},
+    gateway::{Shell, exchange::Ingress, head},
     id::Service,
     memory::prompt::Prompt,
     pin::{self, Pin},
@@ -32,7 +32,7 @@
 /// Number of bytes at the start of a prompt that identify its prefix.
 const MAX_PREFIX_BYTES: usize = 1024;
 /// Bytes of body memory per semaphore permit.
-pub(crate) const PIECE: u64 = 1024;
+pub(crate) const BODY_MEMORY_UNIT_BYTES: u64 = 1024;
 
 /// Builds a refusal of a request that was not sent anywhere.
 pub(crate) fn deny(status: u16, reason: &str) -> Reply {
@@ -52,9 +52,12 @@
     if hint.exact() == Some(0) {
         return Ok((Bytes::new(), None));
     }
-    let permits = hint.exact().unwrap_or(limit).div_ceil(PIECE);
+    let permits = hint
+        .exact()
+        .unwrap_or(limit)
+        .div_ceil(BODY_MEMORY_UNIT_BYTES);
     let memory = shell.bodies.clone().try_acquire_many_owned(permits as u32);
-    let full = || deny(503, "this box holds too many bodies").after(Millis(1000));
+    let full = || deny(503, "this box holds too many bodies").with_retry_after(Millis(1000));
     let memory = memory.map_err(|_| full())?;
     let read = Limited::new(body, limit as usize).collect();
     let collected = timeout(BODY_TIMEOUT, read)
@@ -100,7 +103,7 @@
     parts: &Parts,
     uri: &Uri,
     body: &[u8],
-    door: Door,
+    door: Ingress,
 ) -> Result<Attributes, Reply> {
     let headers = &parts.headers;
     let platform = shell.settings.interface == Interface::Platform;
@@ -127,8 +130,8 @@
             prompt: platform::head::prompt(headers),
             content,
             time_left: match door {
-                Door::Public => platform::head::left(headers),
-                Door::Peer => head::time_left(headers),
+                Ingress::Public => platform::head::time_left(headers),
+                Ingress::Peer => head::time_left(headers),
             },
         }),
     }
@@ -166,7 +169,7 @@
     if keys.next().is_some() {
         return Err(deny(400, "there are two idempotency keys"));
     }
-    let text = key.to_str().ok().filter(|k| k.len() <= pin::MAX_KEY);
+    let text = key.to_str().ok().filter(|k| k.len() <= pin::MAX_KEY_BYTES);
     let Some(text) = text else {
         return Err(deny(400, "the idempotency key is too long or not ASCII"));
     };
--- a/src/gateway/replay.rs
+++ b/src/gateway/replay.rs
@@ -44,7 +44,7 @@
     }
 
     /// Adds a response to the cache if it fits into the size limit.
-    pub(crate) fn keep(&self, request: id::Request, answer: Answer) {
+    pub(crate) fn insert(&self, request: id::Request, answer: Answer) {
         let mut entries = self.lock();
         let size = answer.body.len() + HEAD_BYTES;
         if entries.bytes + size > MAX_TOTAL_BYTES {
@@ -60,7 +60,7 @@
     }
 
     /// Removes the response of `request` from the cache.
-    pub(crate) fn forget(&self, request: id::Request) {
+    pub(crate) fn remove(&self, request: id::Request) {
         let mut entries = self.lock();
         if let Some(answer) = entries.answers.remove(&request) {
             entries.bytes -= answer.body.len() + HEAD_BYTES;
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -93,7 +93,7 @@
         metrics.pushed_back.set(self.state.pushed_back(now) as i64);
         metrics.set_engines(
             self.state.followed_engines(),
-            self.state.engine_news_age(now),
+            self.state.engine_report_age(now),
         );
         metrics.departing.set(self.state.departing() as i64);
         metrics.idempotency_keys.set(self.state.keys() as i64);
@@ -138,7 +138,7 @@
                 let label = if begun.is_some() { "begun" } else { "waiting" };
                 return metrics.broken.with_label_values(&[label]).inc();
             }
-            Effect::Carried(carried) => return metrics.count_move(carried),
+            Effect::MoveEnded(carried) => return metrics.count_move(carried),
             Effect::Quarantine(step) => {
                 return metrics.quarantine.with_label_values(&[step.name()]).inc();
             }
@@ -164,7 +164,7 @@
         if !self.quota.take(now) {
             return self.parts.metrics.dropped_lines.inc();
         }
-        let open = self.orders.get(&request);
+        let open = self.open_requests.get(&request);
         let tag = open.and_then(|o| o.tag.as_deref()).unwrap_or("-");
         log::info!("request: id={tag} box_id={request} {line}");
     }
@@ -204,10 +204,10 @@
                     ),
                 );
             }
-            Event::Broke { request, attempt } => {
+            Event::StreamCut { request, attempt } => {
                 self.log_request(*request, format_args!("cut attempt={}", attempt.0));
             }
-            Event::Gone(request) if self.state.holds(*request) => {
+            Event::Disconnected(request) if self.state.holds(*request) => {
                 self.log_request(*request, "abandoned by=caller");
             }
             _ => {}
@@ -272,8 +272,8 @@
                     ),
                 );
             }
-            Effect::Carried(carried) => self.log_request(carried.request, carried),
-            Effect::Leave { request, attempt } => {
+            Effect::MoveEnded(carried) => self.log_request(carried.request, carried),
+            Effect::DetachStream { request, attempt } => {
                 self.log_request(
                     *request,
                     format_args!("left attempt={} cause=silent", attempt.0),
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -15,7 +15,7 @@
         attempt::{AttemptFailure, Prepared, Upstream, try_once},
         carry::StopState,
         events::Events,
-        signs::Pulse,
+        liveness::Recorder,
     },
     reducer::{effect::Send, event::Cause},
     verdict::Verdict,
@@ -66,12 +66,12 @@
 
     /// Starts an attempt to resume the stream; returns the liveness reporter for its backend
     /// server.
-    pub(crate) fn start(&mut self, send: Send) -> Option<Pulse> {
+    pub(crate) fn start(&mut self, send: Send) -> Option<Recorder> {
         self.stop = StopState::default();
         self.events.forget_partial();
-        let pulse = self.shell.signs.pulse(&send.target);
+        let pulse = self.shell.signs.recorder(&send.target);
         let (shell, prepared) = (self.shell.clone(), self.prepared.clone());
-        let last = self.events.last().map(str::to_owned);
+        let last = self.events.last_id().map(str::to_owned);
         let attempt = async move { try_once(&shell, &prepared, &send, last.as_deref()).await };
         self.attempt = Some(tokio::spawn(attempt));
         pulse
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -19,14 +19,14 @@
     fleet::Revision,
     gateway::{
         body::Body,
-        clock::{Clock, Moment},
+        clock::{BootInstant, Clock},
         core::{Current, Handle},
         dial::Pool,
         head,
+        liveness::Liveness,
         metrics::Metrics,
         pack,
         replay::Replay,
-        signs::Signs,
         store::Store,
         trace::Tracer,
     },
@@ -49,7 +49,7 @@
     pub(super) clock: Clock,
     pub(super) core: Handle,
     pub(super) pool: Arc<Pool>,
-    pub(super) signs: Arc<Signs>,
+    pub(super) signs: Arc<Liveness>,
     pub(super) store: Store,
     pub(super) replay: Arc<Replay>,
     pub(super) metrics: Arc<Metrics>,
@@ -73,7 +73,7 @@
 
 /// Packed lists with the time of packing, by the revision after which they list changes; the key is
 /// `None` for the complete list.
-type RosterCache = BTreeMap<Option<Revision>, (Moment, Bytes)>;
+type RosterCache = BTreeMap<Option<Revision>, (BootInstant, Bytes)>;
 
 impl Shell {
     /// Returns the registered backend servers that this box knows, or the changes after `since`, in
@@ -93,7 +93,7 @@
         let packed = pack::pack(&roster)?;
         let mut cache = self.lock_roster_cache();
         cache.retain(|_, (at, _)| at.elapsed() < ROSTER_CACHE_TTL);
-        cache.insert(since, (Moment::now(), packed.clone()));
+        cache.insert(since, (BootInstant::now(), packed.clone()));
         Ok(Some(packed))
     }
 
@@ -109,7 +109,7 @@
         id::Request(self.requests.fetch_add(1, Ordering::Relaxed))
     }
 
-    pub(super) fn is_secret(&self, secret: &[u8]) -> bool {
+    pub(super) fn is_cluster_secret(&self, secret: &[u8]) -> bool {
         self.settings.cluster_secret.as_bytes().ct_eq(secret).into()
     }
 
@@ -118,11 +118,11 @@
     }
 
     /// Rejects unknown callers before their body is read. The reducer repeats the check.
-    pub(super) fn known(&self, credential: &Credential) -> Result<(), Reply> {
+    pub(super) fn check_credential(&self, credential: &Credential) -> Result<(), Reply> {
         let current = self.current.borrow();
         let Some(current) = current.as_ref() else {
             let reply = Reply::new(503, Verdict::NotRun, "this box is not ready");
-            return Err(reply.after(UNREADY_RETRY_AFTER));
+            return Err(reply.with_retry_after(UNREADY_RETRY_AFTER));
         };
         match credential {
             Credential::Key(hash) if current.config.customer(hash).is_some() => Ok(()),
@@ -135,15 +135,15 @@
     /// Reports whether the active configuration gives customers API keys.
     pub(super) fn has_keys(&self) -> bool {
         let current = self.current.borrow();
-        current.as_ref().is_some_and(|c| c.config.has_keys())
+        current.as_ref().is_some_and(|c| c.config.has_api_keys())
     }
 
     /// Creates a pin that names this box and expires after the default lifetime.
-    pub(super) fn own_pin(&self) -> Pin {
+    pub(super) fn new_pin(&self) -> Pin {
         Pin {
             peer: self.identity.contact.peer,
             incarnation: self.identity.incarnation,
-            expiry: self.clock.now() + pin::LIFE,
+            expiry: self.clock.now() + pin::PIN_LIFETIME,
         }
     }
 
@@ -158,7 +158,7 @@
         let current = self.current.borrow().clone();
         let version = current.map_or(Version(0), |c| c.config.version);
         let content = serde_json::json!({ "ready": ready, "version": version });
-        head::json_answer(code, &content)
+        head::json_response(code, &content)
     }
 
     pub(super) fn stop(&self) {
--- a/src/gateway/store.rs
+++ b/src/gateway/store.rs
@@ -42,7 +42,7 @@
     /// The value was written.
     Done,
     /// The key had been changed since the expected revision; nothing was written.
-    Lost,
+    Conflict,
 }
 
 #[derive(Deserialize)]
@@ -170,7 +170,7 @@
         Ok(if answer.succeeded {
             Swap::Done
         } else {
-            Swap::Lost
+            Swap::Conflict
         })
     }
 
@@ -192,7 +192,7 @@
         let (response, lease) = self.open(address, path, body).await?;
         let body = Limited::new(response, MAX_ANSWER_BYTES).collect().await;
         let bytes = body.map_err(|e| eyre!("store {address}: {e}"))?.to_bytes();
-        lease.give_back();
+        lease.return_to_pool();
         Ok(bytes)
     }
 
@@ -206,7 +206,10 @@
             .header("host", address.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.to_string())))?;
-        let sent = self.pool.send(address, request, false, Distance::Far).await;
+        let sent = self
+            .pool
+            .send(address, request, false, Distance::OtherRegion)
+            .await;
         let (response, lease) = sent.map_err(|f| eyre!("store {address}: {f:?}"))?;
         if !response.status().is_success() {
             bail!("store {address}: status {}", response.status());
--- a/src/gateway/keep.rs
+++ b/src/gateway/store_writes.rs
@@ -21,15 +21,15 @@
 const WRITE_TRIES: (u32, Duration) = (10, Duration::from_secs(2));
 
 /// A change of the quarantine entries in the store.
-pub(crate) enum Write {
+pub(crate) enum QuarantineWrite {
     /// Adds a content to the quarantine.
-    Keep(Held),
+    Add(Held),
     /// Removes a content from the quarantine.
-    Discard(Fingerprint),
+    Remove(Fingerprint),
 }
 
 /// Applies a quarantine change to the store and retries it on failure.
-pub(crate) async fn write(store: SocketAddr, pool: Arc<Pool>, write: Write) {
+pub(crate) async fn write_quarantine(store: SocketAddr, pool: Arc<Pool>, write: QuarantineWrite) {
     let client = Client::new(store, pool);
     let (tries, delay) = WRITE_TRIES;
     for _ in 0..tries {
@@ -47,7 +47,7 @@
 /// Writes the status of a roll-out, unless its end or the same status has been written already or
 /// the order has been replaced. A failed write is not retried here: the reducer requests it again
 /// until the store reports the status.
-pub(crate) async fn settle(
+pub(crate) async fn write_rollout_status(
     store: SocketAddr,
     pool: Arc<Pool>,
     service: Service,
@@ -78,8 +78,8 @@
     let revision = item
         .as_ref()
         .map_or(Revision::default(), |item| item.revision);
-    let written = item.and_then(|item| rollout::written(&item.value, item.revision).ok());
-    let value = rollout::status(&order, standing);
+    let written = item.and_then(|item| rollout::parse_status(&item.value, item.revision).ok());
+    let value = rollout::serialize_status(&order, standing);
     let expected = [
         (rollout::order_key(service), order.revision),
         (key.clone(), revision),
@@ -96,12 +96,12 @@
     }
 }
 
-async fn try_write(client: &Client, write: &Write) -> Result<(), Error> {
+async fn try_write(client: &Client, write: &QuarantineWrite) -> Result<(), Error> {
     match write {
-        Write::Keep(held) => {
+        QuarantineWrite::Add(held) => {
             let key = record::held_key(&held.content);
-            client.write_for(&key, held.left).await
+            client.write_with_ttl(&key, held.left).await
         }
-        Write::Discard(content) => client.remove(&record::held_key(content)).await,
+        QuarantineWrite::Remove(content) => client.remove(&record::held_key(content)).await,
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -17,14 +17,14 @@
 use crate::{
     gateway::{
         attempt::Upstream,
-        clock::Moment,
-        core::{Handle, Order},
+        clock::BootInstant,
+        core::{Command, Handle},
         delimiter::Delimiter,
         dial::Lease,
+        liveness::Recorder,
         metrics::Metrics,
         records::Gap,
         resume::{AttemptOutcome, Resume},
-        signs::Pulse,
         trace::Span,
     },
     id,
@@ -81,19 +81,19 @@
 #[derive(Clone, Copy, Debug)]
 struct PieceTimes {
     /// When the request was received.
-    received_at: Moment,
+    received_at: BootInstant,
     /// Time from then to the start of the response.
     first_byte: Duration,
     /// Arrival of the last piece, or the start of the response.
-    last: Moment,
+    last: BootInstant,
     /// Longest time between two pieces.
     longest_gap: Duration,
 }
 
 impl PieceTimes {
     /// Creates the times of a response that starts now.
-    fn begin(received_at: Moment) -> Self {
-        let now = Moment::now();
+    fn begin(received_at: BootInstant) -> Self {
+        let now = BootInstant::now();
         Self {
             received_at,
             first_byte: now - received_at,
@@ -103,7 +103,7 @@
     }
 
     /// Records a piece that arrived at `now`.
-    fn record_piece(&mut self, now: Moment) {
+    fn record_piece(&mut self, now: BootInstant) {
         self.longest_gap = self.longest_gap.max(now - self.last);
         self.last = now;
     }
@@ -125,14 +125,14 @@
     incoming: Incoming,
     lease: Option<Lease>,
     core: Handle,
-    orders: mpsc::UnboundedReceiver<Order>,
+    orders: mpsc::UnboundedReceiver<Command>,
     pub(super) source: Source,
     delimiter: Delimiter,
     metrics: Arc<Metrics>,
     stall: Pin<Box<Sleep>>,
     times: PieceTimes,
     /// Reports liveness of the backend server that supplies the stream; none for other boxes.
-    pub(crate) pulse: Option<Pulse>,
+    pub(crate) pulse: Option<Recorder>,
     /// State for resuming the stream elsewhere, if that is allowed.
     pub(super) resume: Option<Box<Resume>>,
     /// Whether the stream is waiting for its next attempt.
@@ -146,9 +146,9 @@
         upstream: Upstream,
         core: Handle,
         metrics: Arc<Metrics>,
-        orders: mpsc::UnboundedReceiver<Order>,
+        orders: mpsc::UnboundedReceiver<Command>,
         source: Source,
-        received_at: Moment,
+        received_at: BootInstant,
         resume: Option<Resume>,
     ) -> Self {
         Self {
@@ -180,7 +180,7 @@
         self.done = true;
         let reusable = whole && !self.delimiter.is_close();
         if let Some(lease) = self.lease.take().filter(|_| reusable) {
-            lease.give_back();
+            lease.return_to_pool();
         }
         let Source { request, attempt } = self.source;
         self.core.tell(Event::Ended {
@@ -197,11 +197,11 @@
             && let Poll::Ready(Some(order)) = self.orders.poll_recv(cx)
         {
             let handled = match order {
-                Order::Stopping | Order::Send(_) => self.handle_stop_order(order),
-                Order::Leave if self.resume.as_ref().is_some_and(|r| r.can_move()) => {
+                Command::Stopping | Command::Send(_) => self.handle_stop_order(order),
+                Command::Detach if self.resume.as_ref().is_some_and(|r| r.can_move()) => {
                     return Poll::Ready(Piece::Moving);
                 }
-                Order::Abort | Order::Leave => self.adopt_next_attempt(),
+                Command::Abort | Command::Detach => self.adopt_next_attempt(),
                 _ => false,
             };
             if !handled {
@@ -221,10 +221,10 @@
                     return Poll::Ready(Piece::Truncated);
                 }
                 Poll::Ready(Some(Ok(frame))) => {
-                    let now = Moment::now();
+                    let now = BootInstant::now();
                     self.times.record_piece(now);
                     if let Some(pulse) = &mut self.pulse {
-                        pulse.note(now);
+                        pulse.record_chunk(now);
                     }
                     self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     let bytes = frame.into_data().unwrap_or_default();
@@ -284,7 +284,7 @@
     /// number of that attempt. Returns false if there is no such order, and the response has to be
     /// aborted.
     fn adopt_next_attempt(&mut self) -> bool {
-        let Ok(Order::Send(send)) = self.orders.try_recv() else {
+        let Ok(Command::Send(send)) = self.orders.try_recv() else {
             return false;
         };
         let Source { request, .. } = self.source;
@@ -337,7 +337,7 @@
                     self.release_connection();
                     if !self.start_next_attempt() {
                         let Source { request, attempt } = self.source;
-                        self.core.tell(Event::Broke { request, attempt });
+                        self.core.tell(Event::StreamCut { request, attempt });
                     }
                     None
                 }
@@ -385,17 +385,17 @@
         let request = self.source.request;
         loop {
             match self.orders.poll_recv(cx) {
-                Poll::Ready(Some(Order::Send(send))) => {
+                Poll::Ready(Some(Command::Send(send))) => {
                     self.source.attempt = send.attempt;
                     self.pulse = resume.start(*send);
                     continue;
                 }
-                Poll::Ready(Some(Order::Abort | Order::Leave)) => {
+                Poll::Ready(Some(Command::Abort | Command::Detach)) => {
                     resume.abort();
                     continue;
                 }
-                Poll::Ready(Some(Order::Stopping)) => continue,
-                Poll::Ready(Some(Order::Close)) => return Poll::Ready(MoveOutcome::Complete),
+                Poll::Ready(Some(Command::Stopping)) => continue,
+                Poll::Ready(Some(Command::Complete)) => return Poll::Ready(MoveOutcome::Complete),
                 Poll::Ready(_) => return Poll::Ready(MoveOutcome::Failed),
                 Poll::Pending => {}
             }
@@ -406,9 +406,9 @@
                     self.delimiter = upstream.delimiter;
                     self.incoming = upstream.response.into_body();
                     self.lease = Some(upstream.lease);
-                    let now = Moment::now();
+                    let now = BootInstant::now();
                     if let Some(pulse) = &mut self.pulse {
-                        pulse.begin(now);
+                        pulse.record_start(now);
                     }
                     self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     self.moving = false;
@@ -428,7 +428,7 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         if !self.done {
-            self.core.tell(Event::Gone(self.source.request));
+            self.core.tell(Event::Disconnected(self.source.request));
         }
     }
 }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -12,11 +12,11 @@
 use crate::{
     config::Backend,
     fleet::{self, Change as FleetChange, Era, Revision, Rollouts},
-    gateway::{clock::Moment, core::Handle, dial::Pool, follow, metrics::Metrics},
+    gateway::{clock::BootInstant, core::Handle, dial::Pool, follow, metrics::Metrics},
     id::{Domain, Service},
     platform::{
         call::Error,
-        record::{self, Name},
+        record::{self, Key},
         rollout,
         store::{Change, Client, Freshness, Item},
     },
@@ -61,13 +61,13 @@
     /// The store's era as of the last full read.
     era: Option<Era>,
     /// When the store last failed or recovered: entries deleted soon after that are in doubt.
-    last_outage: Option<Moment>,
+    last_outage: Option<BootInstant>,
     failures: u32,
-    control: Duty,
+    control: Role,
 }
 
 /// The reducer's instructions on how to follow the store.
-pub(crate) struct Duty {
+pub(crate) struct Role {
     /// The number of boxes in the fleet, as far as this box knows.
     pub(crate) boxes: watch::Receiver<usize>,
     /// Whether to follow the store, and for whom.
@@ -80,7 +80,7 @@
     core: &Handle,
     settings: &Arc<Settings>,
     metrics: &Arc<Metrics>,
-    duty: Duty,
+    duty: Role,
 ) {
     let Some(&address) = settings.stores.first() else {
         return log::error!("store: no address configured");
@@ -104,10 +104,10 @@
 async fn run(mut follower: Follower) {
     let mut follow = follower.control.follow.clone();
     let mut freshness = Freshness::Stale;
-    while follow.wait_for(|f| *f != Follow::Rest).await.is_ok() {
+    while follow.wait_for(|f| *f != Follow::Forwarded).await.is_ok() {
         tokio::select! {
             () = follower.step(&mut freshness) => {}
-            _ = follow.wait_for(|f| *f == Follow::Rest) => {
+            _ = follow.wait_for(|f| *f == Follow::Forwarded) => {
                 // Hubs report the changes until this box follows the store again.
                 follower.revision = None;
                 freshness = Freshness::Stale;
@@ -136,7 +136,7 @@
     }
 
     async fn read(&mut self, freshness: Freshness) -> Result<(), Error> {
-        let started = Moment::now();
+        let started = BootInstant::now();
         let read = self.client.range(ROOT_PREFIX, freshness).await;
         self.count_call("read", &read);
         let (items, revision) = read?;
@@ -144,7 +144,7 @@
         self.metrics.store_seconds.observe(seconds);
         let previous = self.era.replace(revision.era);
         if previous.is_some_and(|previous| previous != revision.era) {
-            self.last_outage = Some(Moment::now());
+            self.last_outage = Some(BootInstant::now());
         }
         self.apply_snapshot(items, revision);
         self.report_synced(revision);
@@ -168,7 +168,7 @@
         self.report_synced(as_of.max(revision));
         if changed {
             let boxes = *self.control.boxes.borrow();
-            let delay = fleet::gathering(boxes).duration();
+            let delay = fleet::batch_delay(boxes).duration();
             sleep(if hub {
                 HUB_GATHER_DELAY.min(delay)
             } else {
@@ -205,15 +205,15 @@
         let mut config = None;
         self.rollouts.clear();
         for item in items {
-            match Name::parse(&item.key) {
-                Some(Name::Config) => config = Some(item.value),
-                Some(Name::Evacuation(domain)) => {
+            match Key::parse(&item.key) {
+                Some(Key::Config) => config = Some(item.value),
+                Some(Key::Evacuation(domain)) => {
                     evacuated.insert(domain);
                 }
-                Some(Name::Server(name)) => backends.extend(self.parse_backend(&name, &item.value)),
-                Some(Name::Held(content)) => self.core.tell(Event::Kept(content)),
-                Some(Name::Rollout(service)) => self.update_order(service, Some(&item)),
-                Some(Name::RolloutStatus(service)) => self.update_status(service, Some(&item)),
+                Some(Key::Server(name)) => backends.extend(self.parse_backend(&name, &item.value)),
+                Some(Key::Held(content)) => self.core.tell(Event::HeldBack(content)),
+                Some(Key::Rollout(service)) => self.update_order(service, Some(&item)),
+                Some(Key::RolloutStatus(service)) => self.update_status(service, Some(&item)),
                 None => {}
             }
         }
@@ -230,53 +230,56 @@
             backends.len(),
             self.evacuated.len()
         );
-        let change = FleetChange::List { backends, doubt };
+        let change = FleetChange::List {
+            backends,
+            grace: doubt,
+        };
         self.core.tell(Event::Fleet { change, revision });
     }
 
     fn apply_change(&mut self, change: Change) {
         match change {
-            Change::Put { item, revision } => match Name::parse(&item.key) {
-                Some(Name::Config) => self.offer_config(item.value),
-                Some(Name::Evacuation(domain)) => self.set_evacuated(domain, true, revision),
-                Some(Name::Server(name)) => {
+            Change::Put { item, revision } => match Key::parse(&item.key) {
+                Some(Key::Config) => self.offer_config(item.value),
+                Some(Key::Evacuation(domain)) => self.set_evacuated(domain, true, revision),
+                Some(Key::Server(name)) => {
                     let change = self.server_change(name, &item.value);
                     self.core.tell(Event::Fleet { change, revision });
                 }
-                Some(Name::Held(content)) => self.core.tell(Event::Kept(content)),
-                Some(Name::Rollout(service)) => {
+                Some(Key::Held(content)) => self.core.tell(Event::HeldBack(content)),
+                Some(Key::Rollout(service)) => {
                     self.update_order(service, Some(&item));
                     self.send_rollouts(revision);
                 }
-                Some(Name::RolloutStatus(service)) => {
+                Some(Key::RolloutStatus(service)) => {
                     self.update_status(service, Some(&item));
                     self.send_rollouts(revision);
                 }
                 None => {}
             },
-            Change::Deleted { key, revision } => match Name::parse(&key) {
-                Some(Name::Evacuation(domain)) => self.set_evacuated(domain, false, revision),
-                Some(Name::Server(name)) => {
+            Change::Deleted { key, revision } => match Key::parse(&key) {
+                Some(Key::Evacuation(domain)) => self.set_evacuated(domain, false, revision),
+                Some(Key::Server(name)) => {
                     let doubt = self.remaining_doubt();
                     log::info!(
                         "store: entry of backend server {name} was deleted; in doubt for {doubt}."
                     );
-                    let change = FleetChange::Gone { name, doubt };
+                    let change = FleetChange::Removed { name, grace: doubt };
                     self.core.tell(Event::Fleet { change, revision });
                 }
-                Some(Name::Config) => {
+                Some(Key::Config) => {
                     log::error!("store: the operator's configuration was deleted; ignored.")
                 }
-                Some(Name::Rollout(service)) => {
+                Some(Key::Rollout(service)) => {
                     self.update_order(service, None);
                     self.send_rollouts(revision);
                 }
-                Some(Name::RolloutStatus(service)) => {
+                Some(Key::RolloutStatus(service)) => {
                     self.update_status(service, None);
                     self.send_rollouts(revision);
                 }
                 // Boxes notify each other of cleared contents; other entries expire by themselves.
-                Some(Name::Held(_)) | None => {}
+                Some(Key::Held(_)) | None => {}
             },
         }
     }
@@ -292,13 +295,13 @@
             }
             None => {
                 let doubt = Millis(0);
-                FleetChange::Gone { name, doubt }
+                FleetChange::Removed { name, grace: doubt }
             }
         }
     }
 
     fn parse_backend(&self, name: &crate::id::Backend, value: &[u8]) -> Option<Backend> {
-        match record::server(name, value, &self.settings.places) {
+        match record::parse_server(name, value, &self.settings.places) {
             Ok(backend) => Some(backend),
             Err(error) => {
                 log::warn!("store: {error:#}");
@@ -309,7 +312,7 @@
 
     fn offer_config(&self, value: Vec<u8>) {
         match record::envelope(value) {
-            Ok(envelope) => follow::offer(&self.core, &self.settings, envelope, Source::News),
+            Ok(envelope) => follow::offer(&self.core, &self.settings, envelope, Source::Watch),
             Err(error) => log::error!("store: {error:#}"),
         }
     }
@@ -331,14 +334,14 @@
 
     /// Records a service's roll-out order; a deleted or unreadable one counts as none.
     fn update_order(&mut self, service: Service, item: Option<&Item>) {
-        let order = item.and_then(|item| read_rollout(&service, item, rollout::order));
+        let order = item.and_then(|item| read_rollout(&service, item, rollout::parse_order));
         self.update_rollout(service, |entry| entry.order = order);
     }
 
     /// Records the roll-out status that the boxes wrote; a deleted or unreadable one counts as
     /// none.
     fn update_status(&mut self, service: Service, item: Option<&Item>) {
-        let written = item.and_then(|item| read_rollout(&service, item, rollout::written));
+        let written = item.and_then(|item| read_rollout(&service, item, rollout::parse_status));
         self.update_rollout(service, |entry| entry.written = written);
     }
 
@@ -356,11 +359,11 @@
     }
 
     /// Returns for how long a server whose entry is deleted now stays in doubt: until
-    /// [`fleet::DOUBT`] after the store last failed or recovered, since live servers register again
+    /// [`fleet::OUTAGE_GRACE`] after the store last failed or recovered, since live servers register again
     /// in that time.
     fn remaining_doubt(&self) -> Millis {
         let elapsed = self.last_outage.map(|at| at.elapsed());
-        let left = elapsed.map(|e| fleet::DOUBT.duration().saturating_sub(e));
+        let left = elapsed.map(|e| fleet::OUTAGE_GRACE.duration().saturating_sub(e));
         Millis(left.unwrap_or_default().as_millis() as u64)
     }
 
@@ -372,7 +375,7 @@
             );
             self.failures = 0;
             self.metrics.store_failures.set(0);
-            self.last_outage = Some(Moment::now());
+            self.last_outage = Some(BootInstant::now());
         }
     }
 
@@ -382,7 +385,7 @@
         }
         self.failures += 1;
         self.metrics.store_failures.set(i64::from(self.failures));
-        self.last_outage = Some(Moment::now());
+        self.last_outage = Some(BootInstant::now());
         let doublings = self.failures.saturating_sub(1).min(8);
         let wait = (BACKOFF.0 * (1 << doublings)).min(BACKOFF.1);
         sleep(wait.mul_f64(rand::random_range(0.5..1.5))).await;
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -166,7 +166,7 @@
 
 impl Span {
     /// Sets an attribute of the span.
-    pub fn note(&self, key: &'static str, value: impl ToString) {
+    pub fn set_attribute(&self, key: &'static str, value: impl ToString) {
         if let Some(context) = &self.context {
             let value = KeyValue::new(key, value.to_string());
             context.span().set_attribute(value);
--- a/src/gateway/worst.rs
+++ b/src/gateway/worst_customers.rs
@@ -42,7 +42,7 @@
         let config = self.state.config()?;
         let customer = match &arrival.credential {
             Credential::Key(hash) => config.customer(hash).map(|customer| &customer.name),
-            Credential::Missing | Credential::Vouched(_) => None,
+            Credential::Missing | Credential::Verified(_) => None,
         };
         let customer = customer.or(config.anonymous.as_ref())?.clone();
         let route = config.route(arrival.host.as_deref(), &arrival.path)?;
@@ -50,7 +50,7 @@
         Some(CustomerRequest {
             customer,
             arrived_at: self.parts.clock.now(),
-            target: route.target.map_or(left, |target| target.min(left)),
+            target: route.target_latency.map_or(left, |target| target.min(left)),
         })
     }
 
@@ -63,11 +63,11 @@
                 timing: Timing { first, .. },
                 ..
             } => {
-                let entry = self.orders.get(request)?.customer_request.as_ref()?;
+                let entry = self.open_requests.get(request)?.customer_request.as_ref()?;
                 (*request, *whole && *first <= entry.target)
             }
-            Event::Gone(request) => {
-                let entry = self.orders.get(request)?.customer_request.as_ref()?;
+            Event::Disconnected(request) => {
+                let entry = self.open_requests.get(request)?.customer_request.as_ref()?;
                 let waited = self.parts.clock.now().since(entry.arrived_at);
                 // A caller that disconnects before the time limit is not counted: the response was
                 // not late yet.
@@ -85,11 +85,13 @@
 
     /// Counts the outcome of a request that has ended.
     pub(super) fn count_outcome(&mut self, request: id::Request, outcome: Outcome) {
-        let open = self.orders.get(&request);
+        let open = self.open_requests.get(&request);
         let entry = open.and_then(|open| open.customer_request.as_ref());
         if let Some(customer) = entry.map(|entry| entry.customer.clone()) {
             let now = self.parts.clock.now();
-            self.customer_outcomes.service.note(&customer, outcome, now);
+            self.customer_outcomes
+                .service
+                .record(&customer, outcome, now);
         }
     }
 
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -117,7 +117,7 @@
     }
 
     /// Reports whether a customer's `key` is in the ledger.
-    pub fn knows(&self, customer: &id::Customer, key: &Key) -> bool {
+    pub fn contains(&self, customer: &id::Customer, key: &Key) -> bool {
         self.entries.contains_key(&ScopedKey::of(customer, key))
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Makes `joiner`, which waits for `owner`, the owner of the key; `owner` then waits for it.
-    pub fn hand_over(&mut self, owner: id::Request, joiner: id::Request) {
+    pub fn transfer_ownership(&mut self, owner: id::Request, joiner: id::Request) {
         let Some(scoped_key) = self.owners.remove(&owner) else {
             return;
         };
@@ -164,7 +164,7 @@
     }
 
     /// Removes a joiner whose caller disconnected.
-    pub fn leave(&mut self, owner: id::Request, joiner: id::Request) {
+    pub fn remove_joiner(&mut self, owner: id::Request, joiner: id::Request) {
         if let Some(Phase::Running { joiners }) = self.entry_of(owner).map(|e| &mut e.phase) {
             joiners.retain(|j| *j != joiner);
         }
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -19,7 +19,7 @@
 /// Lowest rate at which the boxes together send to a server with a limit, so that they notice when
 /// the limit ends: one request in ten seconds. The five requests above the limit that the platform
 /// permits within a few seconds cover it.
-pub const PROBE: Rate = Rate(0.1);
+pub const PROBE_RATE: Rate = Rate(0.1);
 /// Part of a limit that is used, since boxes may briefly disagree on which of them share it.
 const USED_SHARE: f64 = 0.9;
 /// Number of boxes that share a limit: a fixed number, and more for each request per second of the
@@ -37,33 +37,33 @@
 
 /// The limit announced in one answer of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum Announcement {
     /// No limit is announced: the server takes as many requests as it has slots.
-    Silent,
+    Absent,
     /// The maximum rate that the server takes.
-    Most(Rate),
+    Rate(Rate),
     /// The header is not a valid rate and is ignored.
     Unreadable,
 }
 
-impl Word {
+impl Announcement {
     /// Reads the header of an answer. The header may be repeated or hold a list; the lowest valid
     /// number applies. Numbers must be finite and not negative; others are ignored.
     pub fn read<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut fields = fields.into_iter().peekable();
         if fields.peek().is_none() {
-            return Self::Silent;
+            return Self::Absent;
         }
         let rates = fields.flat_map(|field| field.split(|byte| *byte == b','));
         let lowest = rates.filter_map(parse_rate).reduce(f64::min);
-        lowest.map_or(Self::Unreadable, |lowest| Self::Most(Rate(lowest)))
+        lowest.map_or(Self::Unreadable, |lowest| Self::Rate(Rate(lowest)))
     }
 
     /// Returns the announced rate, if any.
     pub fn rate(self) -> Option<Rate> {
         match self {
-            Self::Most(rate) => Some(rate),
-            Self::Silent | Self::Unreadable => None,
+            Self::Rate(rate) => Some(rate),
+            Self::Absent | Self::Unreadable => None,
         }
     }
 }
@@ -99,20 +99,20 @@
         return Share::default();
     }
     Share {
-        rate: Rate((USED_SHARE * rate.0).max(PROBE.0) / senders as f64),
+        rate: Rate((USED_SHARE * rate.0).max(PROBE_RATE.0) / senders as f64),
         start: rank as f64 / senders as f64,
     }
 }
 
 /// The effect of another box's report of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worth {
+pub enum Freshness {
     /// The report changed the limit known to this box.
-    News,
+    Newer,
     /// The report agrees with the limit known to this box.
-    Known,
+    Same,
     /// The report is out of date: this box has a newer limit.
-    Old,
+    Older,
 }
 
 /// The state of one backend server's rate limit at this box.
@@ -150,12 +150,12 @@
     }
 
     /// Returns the time to which the limit applies; `None` before any limit was announced.
-    pub fn at(&self) -> Option<Time> {
+    pub fn effective_at(&self) -> Option<Time> {
         self.at
     }
 
     /// Returns the box that reported the limit; `None` if this box read it from an answer itself.
-    pub fn teller(&self) -> Option<&BoxName> {
+    pub fn reporter(&self) -> Option<&BoxName> {
         self.teller.as_ref()
     }
 
@@ -171,8 +171,8 @@
 
     /// Applies the announcement in an answer to a request sent at `sent`. Returns true if the limit
     /// changed, or if this announcement is the first unreadable one in a row.
-    pub fn hear(&mut self, announced: Word, sent: Time, now: Time) -> bool {
-        let unreadable = announced == Word::Unreadable;
+    pub fn apply_announcement(&mut self, announced: Announcement, sent: Time, now: Time) -> bool {
+        let unreadable = announced == Announcement::Unreadable;
         let newly_unreadable = unreadable && !self.unreadable;
         self.unreadable = unreadable;
         let rate = announced.rate();
@@ -194,9 +194,9 @@
     }
 
     /// Applies a limit that the box `teller` reported for the time `at`.
-    pub fn learn(&mut self, rate: Option<Rate>, at: Time, teller: &BoxName) -> Worth {
+    pub fn apply_report(&mut self, rate: Option<Rate>, at: Time, teller: &BoxName) -> Freshness {
         if rate.is_some_and(|rate| !is_valid_rate(rate.0)) {
-            return Worth::Known;
+            return Freshness::Same;
         }
         let newer = match self.at {
             None => rate.is_some(),
@@ -204,15 +204,15 @@
         };
         if !newer {
             return match self.rate == rate {
-                true => Worth::Known,
-                false => Worth::Old,
+                true => Freshness::Same,
+                false => Freshness::Older,
             };
         }
         if !self.set_rate(rate, at) {
-            return Worth::Known;
+            return Freshness::Same;
         }
         self.teller = Some(teller.clone());
-        Worth::News
+        Freshness::Newer
     }
 
     /// Sets the limit in effect at `at`; returns true if the rate changed.
@@ -234,7 +234,7 @@
     }
 
     /// Sets this box's share.
-    pub fn split(&mut self, share: Share, now: Time) {
+    pub fn set_share(&mut self, share: Share, now: Time) {
         self.bucket.get_or_insert(Bucket::new(share.start, now));
         self.share = share.rate;
     }
@@ -278,7 +278,7 @@
     }
 
     /// Reports whether a change is due to be reported to other boxes, and marks it as reported.
-    pub fn tell(&mut self, now: Time) -> bool {
+    pub fn take_due_report(&mut self, now: Time) -> bool {
         let due = self
             .reported_at
             .is_none_or(|at| now.since(at) >= REPORT_INTERVAL);
--- a/src/member/hubs.rs
+++ b/src/member/hubs.rs
@@ -9,12 +9,12 @@
 use crate::{
     id::{BoxName, Domain},
     member::{
-        HEARTBEAT, Table,
+        MIN_HEARTBEAT_PERIOD, Table,
         rank::{Rank, Scale},
     },
     size::Room,
     unit::Time,
-    wire::{Contact, Report, Share, Short},
+    wire::{Contact, NameHash, Report, Share},
 };
 
 /// Number of boxes in a failure domain that aggregate what its boxes observe of backend servers:
@@ -34,19 +34,19 @@
 
 impl Table {
     /// Reports whether current usage sums from the hubs are available.
-    pub fn knows_usages(&self, now: Time) -> bool {
+    pub fn has_fresh_usages(&self, now: Time) -> bool {
         self.tally.is_fresh(now)
     }
 
     /// Reports whether other boxes of this region found a backend server to be unreachable.
-    pub fn is_down(&self, backend: Short, now: Time) -> bool {
-        self.knows_usages(now) && self.tally.is_down(backend)
+    pub fn is_down(&self, backend: NameHash, now: Time) -> bool {
+        self.has_fresh_usages(now) && self.tally.is_down(backend)
     }
 
     /// Reports whether this region is large enough for hubs to aggregate what its boxes observe of
     /// backend servers.
     pub fn has_hubs(&self) -> bool {
-        self.heartbeat_period() > HEARTBEAT
+        self.heartbeat_period() > MIN_HEARTBEAT_PERIOD
     }
 
     /// Returns the hubs of this box's failure domain.
@@ -83,34 +83,34 @@
     }
 
     /// Returns the gossip addresses of the other live boxes of this failure domain.
-    pub fn neighbours(&self, now: Time) -> Vec<SocketAddr> {
+    pub fn domain_peers(&self, now: Time) -> Vec<SocketAddr> {
         let here = self.live(now).map(|p| &p.last.contact);
         let here = here.filter(|c| c.domain == self.me.domain);
         here.map(|contact| contact.gossip).collect()
     }
 
     /// Records the report on its own use of backend servers that this box sends.
-    pub fn tell_report(&mut self, report: &Report) {
+    pub fn record_sent_report(&mut self, report: &Report) {
         self.tally.record_sent(report);
     }
 
     /// Records a report received from a box (on hubs).
-    pub fn hear_report(&mut self, from: &BoxName, report: Report, now: Time) {
+    pub fn record_report(&mut self, from: &BoxName, report: Report, now: Time) {
         self.tally.record_report(from.clone(), report, now);
     }
 
     /// Aggregates the known reports with this box's own `report` (on hubs); the share of its own
     /// failure domain comes first.
-    pub fn sum_up(&mut self, report: Report, now: Time) -> Vec<Share> {
+    pub fn aggregate(&mut self, report: Report, now: Time) -> Vec<Share> {
         self.tally.record_report(self.me.name.clone(), report, now);
-        let shares = self.tally.sum_up(&self.me.domain, now);
+        let shares = self.tally.aggregate(&self.me.domain, now);
         self.tally.replace_sums(&shares, now);
         shares
     }
 
     /// Applies sums received from a hub of this failure domain, or of another one; returns `true`
     /// for the former.
-    pub fn hear_tally(&mut self, from: &BoxName, shares: &[Share], now: Time) -> bool {
+    pub fn apply_tally(&mut self, from: &BoxName, shares: &[Share], now: Time) -> bool {
         let domain = self.peer(from).map(|p| p.last.contact.domain.clone());
         if domain.as_ref() == Some(&self.me.domain) {
             self.tally.replace_sums(shares, now);
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -23,12 +23,12 @@
     id::{BoxName, Incarnation, Region},
     size::Room,
     unit::{Millis, Time},
-    wire::{Contact, Digest, Door, Frame, Heartbeat, Phase, Short},
+    wire::{Contact, Digest, Endpoint, Frame, Heartbeat, NameHash, Phase},
 };
 
 pub use hubs::Hubs;
 pub use peer::{Peer, Remote, Stage, Suspicion};
-pub use rank::weight;
+pub use rank::rendezvous_hash;
 pub use room::load;
 
 use census::Census;
@@ -37,7 +37,7 @@
 use tally::Tally;
 
 /// Minimum heartbeat period.
-pub const HEARTBEAT: Millis = Millis(500);
+pub const MIN_HEARTBEAT_PERIOD: Millis = Millis(500);
 /// Heartbeat period in milliseconds for each other box of the region: the traffic stays bounded as
 /// the region grows.
 const HEARTBEAT_MS_PER_BOX: u64 = 150;
@@ -46,7 +46,7 @@
 /// Digest period in milliseconds for each other region.
 const DIGEST_MS_PER_REGION: u64 = 170;
 /// How long a silent box is remembered.
-pub const FORGET: Millis = Millis(60_000);
+pub const PEER_RETENTION: Millis = Millis(60_000);
 /// How long no requests are sent to a region after it refused one.
 const REFUSAL_COOLDOWN: Millis = Millis(300);
 
@@ -69,7 +69,7 @@
     peers: BTreeMap<BoxName, Peer>,
     regions: BTreeMap<Region, Remote>,
     seen: HashMap<BoxName, Seen>,
-    busy: HashMap<Short, u32>,
+    busy: HashMap<NameHash, u32>,
     /// Addresses that live boxes report as leaving, with the number of boxes that report each.
     leaving_counts: HashMap<SocketAddr, u32>,
     tally: Tally,
@@ -98,7 +98,7 @@
 
     /// Returns the heartbeat period of this region's boxes.
     pub fn heartbeat_period(&self) -> Millis {
-        HEARTBEAT.max(Millis(HEARTBEAT_MS_PER_BOX * self.peers.len() as u64))
+        MIN_HEARTBEAT_PERIOD.max(Millis(HEARTBEAT_MS_PER_BOX * self.peers.len() as u64))
     }
 
     /// Returns the digest period for one region.
@@ -107,7 +107,7 @@
     }
 
     /// Returns how long a region may be silent before it is no longer used.
-    pub fn region_suspect(&self) -> Millis {
+    pub fn region_timeout(&self) -> Millis {
         Millis(MAX_MISSED * self.digest_period().0)
     }
 
@@ -117,7 +117,9 @@
         if frame.from == self.me.name {
             return false;
         }
-        let silent = self.region_suspect().max(Millis(MAX_MISSED * HEARTBEAT.0));
+        let silent = self
+            .region_timeout()
+            .max(Millis(MAX_MISSED * MIN_HEARTBEAT_PERIOD.0));
         let fresh = self.seen.get(&frame.from).is_none_or(|seen| {
             if frame.incarnation == seen.incarnation {
                 return frame.seq > seen.seq;
@@ -140,7 +142,12 @@
     }
 
     /// Applies a heartbeat of this region; returns whether the sender's incarnation is new.
-    pub fn heartbeat(&mut self, incarnation: Incarnation, heartbeat: Heartbeat, now: Time) -> bool {
+    pub fn apply_heartbeat(
+        &mut self,
+        incarnation: Incarnation,
+        heartbeat: Heartbeat,
+        now: Time,
+    ) -> bool {
         for load in &heartbeat.loads {
             *self.busy.entry(load.backend).or_default() += load.busy;
         }
@@ -151,7 +158,7 @@
         let peer = Peer {
             incarnation,
             last: heartbeat,
-            heard: now,
+            received_at: now,
             suspected: false,
             overdue_since: None,
         };
@@ -180,35 +187,36 @@
     /// since.
     pub fn suspect(&mut self, name: &BoxName, incarnation: Incarnation, silent: Millis, now: Time) {
         let peer = self.peers.get_mut(name);
-        let peer = peer.filter(|p| p.incarnation == incarnation && now.since(p.heard) >= silent);
+        let peer =
+            peer.filter(|p| p.incarnation == incarnation && now.since(p.received_at) >= silent);
         if let Some(peer) = peer {
             peer.suspected = true;
         }
     }
 
     /// Applies a digest of another region.
-    pub fn digest(&mut self, digest: Digest, now: Time) {
+    pub fn apply_digest(&mut self, digest: Digest, now: Time) {
         let boxes = digest.boxes as usize;
         self.census.record_remote(&digest.region, boxes, now);
-        let silent = self.region_suspect();
+        let silent = self.region_timeout();
         let old = self.regions.get(&digest.region);
         let recovered_at = match old {
-            Some(old) if now.since(old.heard) > silent => Some(now),
+            Some(old) if now.since(old.received_at) > silent => Some(now),
             Some(old) => old.recovered_at,
             None => None,
         };
         let remote = Remote {
             recovered_at,
-            heard: now,
+            received_at: now,
             sent: 0,
-            cool_until: old.map_or(Time(0), |old| old.cool_until),
+            backoff_until: old.map_or(Time(0), |old| old.backoff_until),
             digest,
         };
         self.regions.insert(remote.digest.region.clone(), remote);
     }
 
     /// Counts a request relayed to `region`.
-    pub fn relayed(&mut self, region: &Region) {
+    pub fn record_relay(&mut self, region: &Region) {
         if let Some(remote) = self.regions.get_mut(region) {
             remote.sent += 1;
         }
@@ -217,7 +225,11 @@
     /// Uncounts a finished request that was relayed to `region` at `sent`; a digest received later
     /// already accounts for it.
     pub fn relay_ended(&mut self, region: &Region, sent: Time) {
-        if let Some(remote) = self.regions.get_mut(region).filter(|r| sent >= r.heard) {
+        if let Some(remote) = self
+            .regions
+            .get_mut(region)
+            .filter(|r| sent >= r.received_at)
+        {
             remote.sent = remote.sent.saturating_sub(1);
         }
     }
@@ -225,20 +237,20 @@
     /// Records that `region` refused a request.
     pub fn relay_refused(&mut self, region: &Region, now: Time) {
         if let Some(remote) = self.regions.get_mut(region) {
-            remote.cool_until = now + REFUSAL_COOLDOWN;
+            remote.backoff_until = now + REFUSAL_COOLDOWN;
         }
     }
 
     /// Removes a relay endpoint that could not be reached, until the next digest.
-    pub fn lose_door(&mut self, region: &Region, name: &BoxName) {
+    pub fn remove_endpoint(&mut self, region: &Region, name: &BoxName) {
         if let Some(remote) = self.regions.get_mut(region) {
-            remote.digest.doors.retain(|d| d.contact.name != *name);
+            remote.digest.endpoints.retain(|d| d.contact.name != *name);
         }
     }
 
     /// Returns the attempts that the other boxes of this region have in flight at a backend server.
-    pub fn busy(&self, backend: Short, now: Time) -> u32 {
-        if self.knows_usages(now) {
+    pub fn busy(&self, backend: NameHash, now: Time) -> u32 {
+        if self.has_fresh_usages(now) {
             return self.tally.busy(backend);
         }
         self.busy.get(&backend).copied().unwrap_or(0)
@@ -266,21 +278,21 @@
 
     /// Returns the regions with a recent digest.
     pub fn reachable(&self, now: Time) -> impl Iterator<Item = (&Region, &Remote)> {
-        let silent = self.region_suspect();
-        let alive = move |(_, r): &(&Region, &Remote)| now.since(r.heard) <= silent;
+        let silent = self.region_timeout();
+        let alive = move |(_, r): &(&Region, &Remote)| now.since(r.received_at) <= silent;
         self.regions.iter().filter(alive)
     }
 
     /// Reports whether `region` has sent a recent digest.
     pub fn is_reachable(&self, region: &Region, now: Time) -> bool {
-        let silent = self.region_suspect();
+        let silent = self.region_timeout();
         let remote = self.regions.get(region);
-        remote.is_some_and(|remote| now.since(remote.heard) <= silent)
+        remote.is_some_and(|remote| now.since(remote.received_at) <= silent)
     }
 
     /// Reports whether `gossip` is the address of a box known to be in another region.
-    pub fn is_elsewhere(&self, gossip: &SocketAddr) -> bool {
-        let doors = self.regions.values().flat_map(|r| &r.digest.doors);
+    pub fn is_in_other_region(&self, gossip: &SocketAddr) -> bool {
+        let doors = self.regions.values().flat_map(|r| &r.digest.endpoints);
         doors.into_iter().any(|d| d.contact.gossip == *gossip)
     }
 
@@ -301,8 +313,8 @@
     }
 
     /// Returns the relay endpoint of `region` for the `turn`-th request, in round-robin order.
-    pub fn door(&self, region: &Region, turn: u64) -> Option<&Door> {
-        let doors = &self.regions.get(region)?.digest.doors;
+    pub fn relay_endpoint(&self, region: &Region, turn: u64) -> Option<&Endpoint> {
+        let doors = &self.regions.get(region)?.digest.endpoints;
         let index = usize::try_from(turn)
             .unwrap_or(0)
             .checked_rem(doors.len())?;
@@ -315,7 +327,7 @@
     pub fn newest(&self, now: Time) -> Option<(Version, &Contact)> {
         let near = self.live(now).map(|p| (p.last.version, &p.last.contact));
         let far = self.reachable(now).filter_map(|(_, r)| {
-            let door = r.digest.doors.first()?;
+            let door = r.digest.endpoints.first()?;
             Some((r.digest.version, &door.contact))
         });
         let (mine, scale) = (self.me.name.as_str(), self.scale(now));
@@ -335,7 +347,7 @@
     /// Returns a ready box of this region that knows a store revision newer than `known`. A box in
     /// this box's failure domain is preferred, then the one with the newest revision; ties are
     /// broken differently at each box.
-    pub fn ahead_here(&self, known: Revision, now: Time) -> Option<&Peer> {
+    pub fn newest_peer(&self, known: Revision, now: Time) -> Option<&Peer> {
         let ahead = self.ready(now).filter(|p| p.last.revision > known);
         let (mine, scale) = (self.me.name.as_str(), self.scale(now));
         ahead.max_by_key(|p| {
@@ -346,21 +358,21 @@
     }
 
     /// Returns the region with the newest store revision, if newer than `known`.
-    pub fn ahead_elsewhere(&self, known: Revision, now: Time) -> Option<(&Region, &Remote)> {
+    pub fn newest_region(&self, known: Revision, now: Time) -> Option<(&Region, &Remote)> {
         let doors = self
             .reachable(now)
-            .filter(|(_, r)| !r.digest.doors.is_empty());
+            .filter(|(_, r)| !r.digest.endpoints.is_empty());
         let ahead = doors.filter(|(_, r)| r.digest.revision > known);
         ahead.max_by_key(|(_, r)| r.digest.revision)
     }
 
     /// Removes boxes that were silent for long, and the reported load of silent ones.
     pub fn sweep(&mut self, now: Time) {
-        let is_expired = |heard: Time| now.since(heard) > FORGET;
+        let is_expired = |heard: Time| now.since(heard) > PEER_RETENTION;
         let gone: Vec<BoxName> = self
             .peers
             .iter()
-            .filter(|(_, p)| is_expired(p.heard))
+            .filter(|(_, p)| is_expired(p.received_at))
             .map(|(name, _)| name.clone())
             .collect();
         for name in gone {
--- a/src/member/monitors.rs
+++ b/src/member/monitors.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     id::BoxName,
-    member::{HEARTBEAT, Stage, Suspicion, Table, peer::MAX_MISSED, rank::Rank},
+    member::{MIN_HEARTBEAT_PERIOD, Stage, Suspicion, Table, peer::MAX_MISSED, rank::Rank},
     unit::{Millis, Time},
     wire::Contact,
 };
@@ -23,13 +23,13 @@
     /// Checks the boxes that should be heard often here, either because of the period that they
     /// announced or because they have no higher-ranked monitor left. The latter are probed before
     /// they are suspected.
-    pub fn watch_over(&mut self, now: Time) -> Vec<Suspicion> {
-        let limit = Millis(MAX_MISSED * HEARTBEAT.0);
+    pub fn detect_failures(&mut self, now: Time) -> Vec<Suspicion> {
+        let limit = Millis(MAX_MISSED * MIN_HEARTBEAT_PERIOD.0);
         let period = self.heartbeat_period();
         let monitored = self.monitored(now);
         let mut found = Vec::new();
         for peer in self.peers.values_mut().filter(|p| !p.suspected) {
-            let silence = now.since(peer.heard);
+            let silence = now.since(peer.received_at);
             let pace = peer.last.pace;
             // The announced period counts: a box that knows fewer others sends heartbeats more
             // often than this one, though less often than it does to its monitors.
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -5,7 +5,7 @@
 use crate::{
     id::{BoxName, Incarnation},
     unit::{Millis, Time},
-    wire::{Digest, Heartbeat, Short},
+    wire::{Digest, Heartbeat, NameHash},
 };
 
 /// Number of consecutive messages that may be missed before a box or a region is no longer used.
@@ -23,7 +23,7 @@
     /// Last heartbeat received.
     pub last: Heartbeat,
     /// When that heartbeat was received.
-    pub heard: Time,
+    pub received_at: Time,
     /// Whether the box is considered failed although its announced heartbeat period has not
     /// elapsed.
     pub suspected: bool,
@@ -34,12 +34,12 @@
 impl Peer {
     /// Reports whether the box is considered live at `now`.
     pub(super) fn is_live(&self, now: Time) -> bool {
-        !self.suspected && now.since(self.heard) <= Millis(MAX_MISSED * self.last.pace.0)
+        !self.suspected && now.since(self.received_at) <= Millis(MAX_MISSED * self.last.pace.0)
     }
 
     /// Returns a lower bound of the box's clock at `now`.
     pub fn uptime(&self, now: Time) -> Time {
-        self.last.uptime + now.since(self.heard)
+        self.last.uptime + now.since(self.received_at)
     }
 }
 
@@ -73,19 +73,19 @@
     /// Last digest received.
     pub digest: Digest,
     /// When that digest was received.
-    pub heard: Time,
+    pub received_at: Time,
     /// When the region was heard again after a silence; `None` if it never was silent.
     pub recovered_at: Option<Time>,
     /// Requests relayed since the digest that have not ended.
     pub sent: u32,
     /// Until when no requests are relayed there because the region refused one.
-    pub cool_until: Time,
+    pub backoff_until: Time,
 }
 
 impl Remote {
     /// Returns the free slots for `service` at `now`: those of the digest, limited by the ramp-up,
     /// less the requests relayed since.
-    pub fn free(&self, service: Short, now: Time) -> u32 {
+    pub fn free(&self, service: NameHash, now: Time) -> u32 {
         let Some(capacity) = self.digest.services.iter().find(|c| c.service == service) else {
             return 0;
         };
--- a/src/member/rank.rs
+++ b/src/member/rank.rs
@@ -36,13 +36,13 @@
 impl Rank {
     /// Returns the rank of the box called `name`.
     pub(super) fn of(name: &BoxName, room: Room, role: &str, scale: Scale) -> Self {
-        let hash = weight(name, role);
+        let hash = rendezvous_hash(name, role);
         let score = match scale {
             Scale::Uniform => 0.0,
             Scale::Weighted => {
                 // In the interval (0, 1].
                 let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 1.0);
-                let weight = room.weight.unwrap_or(Weight::USUAL);
+                let weight = room.weight.unwrap_or(Weight::DEFAULT);
                 uniform.ln() / f64::from(weight.number())
             }
         };
@@ -72,7 +72,7 @@
 impl Eq for Rank {}
 
 /// Returns the rendezvous hash of a box for a role.
-pub fn weight(name: &BoxName, role: &str) -> u64 {
+pub fn rendezvous_hash(name: &BoxName, role: &str) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(role.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), seed)
 }
@@ -113,29 +113,30 @@
     /// Returns this box's rank (from 0) for a role among the boxes of its region that may still be
     /// working, and the number of those boxes. All phases count, and a silent box counts for the
     /// time `kept` after its heartbeat was due.
-    pub fn standing(
+    pub fn rank_among_active(
         &self,
         role: &str,
         kept: impl Fn(&Peer) -> Millis,
         now: Time,
     ) -> (usize, usize) {
-        let at_work = |p: &&Peer| p.is_live(now) || now.since(p.heard) <= p.last.pace + kept(p);
-        let mine = weight(&self.me.name, role);
+        let at_work =
+            |p: &&Peer| p.is_live(now) || now.since(p.received_at) <= p.last.pace + kept(p);
+        let mine = rendezvous_hash(&self.me.name, role);
         let others = self.peers.values().filter(at_work);
         others.fold((0, 1), |(rank, boxes), peer| {
-            let above = weight(&peer.last.contact.name, role) > mine;
+            let above = rendezvous_hash(&peer.last.contact.name, role) > mine;
             (rank + usize::from(above), boxes + 1)
         })
     }
 
     /// Reports whether this box ranks first for a role among the live boxes of its region other
     /// than `other`.
-    pub fn is_first(&self, role: &str, other: &BoxName, now: Time) -> bool {
+    pub fn leads_except(&self, role: &str, other: &BoxName, now: Time) -> bool {
         self.higher_ranked_except(role, other, now).next().is_none()
     }
 
     /// Returns this box's rank (from 0) among the boxes that inform `other` of what they know.
-    pub fn rank_beside(&self, other: &BoxName, now: Time) -> usize {
+    pub fn rank_except(&self, other: &BoxName, now: Time) -> usize {
         self.higher_ranked_except(other.as_str(), other, now)
             .count()
     }
--- a/src/member/room.rs
+++ b/src/member/room.rs
@@ -10,18 +10,18 @@
 impl Table {
     /// Returns the weight assumed for a box that announces none: the median of the announced
     /// weights, so that the first of several boxes to announce one does not differ from the others.
-    pub fn usual_weight(&self, now: Time) -> Weight {
+    pub fn median_weight(&self, now: Time) -> Weight {
         let weights = self.live(now).filter_map(|p| p.last.room.weight);
         let mut weights: Vec<Weight> = weights.chain(self.room.weight).collect();
         weights.sort_unstable();
         let middle = weights.len().saturating_sub(1) / 2;
-        weights.get(middle).copied().unwrap_or(Weight::USUAL)
+        weights.get(middle).copied().unwrap_or(Weight::DEFAULT)
     }
 
     /// Returns a box of this region that takes work, to fetch a list from. Boxes in this failure
     /// domain come first, each box prefers another one, and large boxes are preferred by more
     /// boxes.
-    pub fn sender(&self, now: Time) -> Option<&Contact> {
+    pub fn list_source(&self, now: Time) -> Option<&Contact> {
         let scale = self.scale(now);
         let near = self.ready(now).map(|p| &p.last);
         let sender = near.max_by_key(|heartbeat| {
@@ -45,8 +45,8 @@
     /// Returns the ratio of this box's requests in flight per weight, at `busy` requests, to that
     /// of all boxes of the region that take work, including this one; `None` if all weights are
     /// equal or no requests are in flight.
-    pub fn crowding(&self, busy: u32, now: Time) -> Option<f64> {
-        let usual = self.usual_weight(now);
+    pub fn relative_load(&self, busy: u32, now: Time) -> Option<f64> {
+        let usual = self.median_weight(now);
         let weight = |room: Room| f64::from(room.weight.unwrap_or(usual).number());
         let mine = weight(self.room);
         let (mut requests, mut total_weight, mut differ) = (f64::from(busy), mine, false);
--- a/src/member/tally.rs
+++ b/src/member/tally.rs
@@ -16,7 +16,7 @@
     id::{BoxName, Domain},
     rollout,
     unit::{Millis, Time},
-    wire::{Report, Share, Short, Trial, Usage, Use},
+    wire::{NameHash, Report, Share, Trial, Usage, Use},
 };
 
 /// Maximum age of reports and sums that are used, equal to five missed messages.
@@ -46,20 +46,20 @@
     /// On a hub, the sums of the other failure domains.
     shares: BTreeMap<Domain, Received>,
     /// Sums of the region, including this box, and when they were received.
-    sums: HashMap<Short, Usage>,
+    sums: HashMap<NameHash, Usage>,
     summed_at: Option<Time>,
     /// This box's own attempts in flight at each server as last reported; the sums include them.
-    own_busy: HashMap<Short, u32>,
+    own_busy: HashMap<NameHash, u32>,
     /// Customers' use in the region, and this box's own part of it as last reported.
-    uses: HashMap<Short, Sum>,
-    own_uses: HashMap<Short, Sum>,
+    uses: HashMap<NameHash, Sum>,
+    own_uses: HashMap<NameHash, Sum>,
     /// Roll-out observations of the region.
     trials: Vec<Trial>,
     /// Failure domains included in the sums.
     domains: BTreeSet<Domain>,
 }
 
-fn add_usages(sums: &mut HashMap<Short, Usage>, usages: &[Usage]) {
+fn add_usages(sums: &mut HashMap<NameHash, Usage>, usages: &[Usage]) {
     for usage in usages {
         let zero = Usage {
             busy: 0,
@@ -82,15 +82,15 @@
 }
 
 /// Adds customers' use to `sums`.
-pub(super) fn add_uses(sums: &mut HashMap<Short, Sum>, uses: &[Use]) {
+pub(super) fn add_uses(sums: &mut HashMap<NameHash, Sum>, uses: &[Use]) {
     for usage in uses {
         sums.entry(usage.customer).or_default().add(usage);
     }
 }
 
 /// Returns customers' use for sending, sorted by customer.
-pub(super) fn sorted_uses(sums: HashMap<Short, Sum>) -> Vec<Use> {
-    let to_use = |(customer, sum): (Short, Sum)| Use {
+pub(super) fn sorted_uses(sums: HashMap<NameHash, Sum>) -> Vec<Use> {
+    let to_use = |(customer, sum): (NameHash, Sum)| Use {
         customer,
         used: sum.used as u32,
         offered: sum.offered as u32,
@@ -140,7 +140,7 @@
 
     /// Returns the sums of each failure domain, with those of the hub's own `domain` first (on
     /// hubs).
-    pub(super) fn sum_up(&mut self, domain: &Domain, now: Time) -> Vec<Share> {
+    pub(super) fn aggregate(&mut self, domain: &Domain, now: Time) -> Vec<Share> {
         self.reports.retain(|_, received| received.is_fresh(now));
         self.shares.retain(|_, received| received.is_fresh(now));
         let (mut own, mut uses, mut trials) = (HashMap::new(), HashMap::new(), Vec::new());
@@ -170,7 +170,7 @@
     }
 
     /// Returns the attempts that the other boxes have in flight at `backend`.
-    pub(super) fn busy(&self, backend: Short) -> u32 {
+    pub(super) fn busy(&self, backend: NameHash) -> u32 {
         let all = self.sums.get(&backend).map_or(0, |sum| sum.busy);
         let mine = self.own_busy.get(&backend).copied().unwrap_or(0);
         all.saturating_sub(mine)
@@ -182,7 +182,7 @@
     }
 
     /// Returns the customers' use in the region.
-    pub(super) fn uses(&self) -> &HashMap<Short, Sum> {
+    pub(super) fn uses(&self) -> &HashMap<NameHash, Sum> {
         &self.uses
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Returns a customer's use at the other boxes of the region.
-    pub(super) fn use_elsewhere(&self, customer: Short) -> Sum {
+    pub(super) fn use_elsewhere(&self, customer: NameHash) -> Sum {
         let all = self.uses.get(&customer).copied().unwrap_or_default();
         let own = self.own_uses.get(&customer).copied().unwrap_or_default();
         all.without(own)
@@ -204,7 +204,7 @@
     }
 
     /// Reports whether several boxes could not reach `backend` and no box got an answer from it.
-    pub(super) fn is_down(&self, backend: Short) -> bool {
+    pub(super) fn is_down(&self, backend: NameHash) -> bool {
         let sum = self.sums.get(&backend);
         sum.is_some_and(|sum| sum.answered == 0 && sum.unreachable >= UNREACHABLE_QUORUM)
     }
--- a/src/member/uses.rs
+++ b/src/member/uses.rs
@@ -10,7 +10,7 @@
         tally::{add_trials, add_uses, sorted_uses},
     },
     unit::{Millis, Time},
-    wire::{Phase, Short, Trial, Use},
+    wire::{NameHash, Phase, Trial, Use},
 };
 
 /// How long a box may hear no other box of its region before it counts as isolated. The hubs of a
@@ -20,14 +20,14 @@
 impl Table {
     /// Returns a customer's use at the other boxes of this region; `None` if this box hears no box
     /// that could report it.
-    pub fn use_here(&self, customer: Short, now: Time) -> Option<Sum> {
+    pub fn use_elsewhere_in_region(&self, customer: NameHash, now: Time) -> Option<Sum> {
         if self.is_isolated(now) {
             return None;
         }
         if self.has_hubs() {
             // Hubs report once that there is no use and then stop sending, so their later silence
             // does not mean that data is missing.
-            let known = self.knows_usages(now) || self.tally.has_no_uses();
+            let known = self.has_fresh_usages(now) || self.tally.has_no_uses();
             return known.then(|| self.tally.use_elsewhere(customer));
         }
         let mut sum = Sum::default();
@@ -41,10 +41,10 @@
 
     /// Returns all customers' use in this region, with `own` as this box's part.
     pub fn uses(&self, own: Vec<Use>, now: Time) -> Vec<Use> {
-        if self.has_hubs() && self.knows_usages(now) {
+        if self.has_hubs() && self.has_fresh_usages(now) {
             return sorted_uses(self.tally.uses().clone());
         }
-        let mut sums: HashMap<Short, Sum> = HashMap::new();
+        let mut sums: HashMap<NameHash, Sum> = HashMap::new();
         add_uses(&mut sums, &own);
         for peer in self.live(now) {
             add_uses(&mut sums, &peer.last.uses);
@@ -54,7 +54,7 @@
 
     /// Returns the roll-out observations of this region, with `own` as this box's part.
     pub fn trials(&self, own: Vec<Trial>, now: Time) -> Vec<Trial> {
-        if self.has_hubs() && self.knows_usages(now) {
+        if self.has_hubs() && self.has_fresh_usages(now) {
             return self.tally.trials().to_vec();
         }
         let mut sums = own;
@@ -71,7 +71,7 @@
         let at_work = |p: &&Peer| p.is_live(now) || p.last.phase != Phase::Leaving;
         let peers: Vec<&Peer> = self.peers().filter(at_work).collect();
         let hubs = self.has_hubs();
-        let idle = hubs && !self.knows_usages(now) && self.tally.has_no_uses();
+        let idle = hubs && !self.has_fresh_usages(now) && self.tally.has_no_uses();
         if peers.is_empty() || idle {
             return 1.0;
         }
--- a/src/memory/cache.rs
+++ b/src/memory/cache.rs
@@ -9,7 +9,7 @@
 use crate::{
     memory::prompt::{Part, Prompt},
     unit::{Millis, Time},
-    wire::{Holding, Short},
+    wire::{Holding, NameHash},
 };
 
 /// Minimum length in tokens of a tracked part; shorter ones are read within a few steps of a batch.
@@ -25,7 +25,7 @@
 /// Cached copy of a part at one engine.
 #[derive(Clone, Copy, Debug)]
 struct CachedCopy {
-    backend: Short,
+    backend: NameHash,
     /// When it was last used.
     at: Time,
     /// Total tokens that the engine had read by then.
@@ -36,16 +36,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     parts: HashMap<u64, Vec<CachedCopy>>,
-    total_read: HashMap<Short, u64>,
+    total_read: HashMap<NameHash, u64>,
     /// Engines whose contents were reported by another box or by the engine itself.
-    learned: HashSet<Short>,
+    learned: HashSet<NameHash>,
     /// Engines whose own cache reports reach this box, and until when they are considered current.
-    reported_until: HashMap<Short, Time>,
+    reported_until: HashMap<NameHash, Time>,
 }
 
 impl Cache {
     /// Records that `backend` reads `tokens` and then has `part` cached.
-    pub fn note(&mut self, backend: Short, part: Option<Part>, tokens: u32, now: Time) {
+    pub fn note(&mut self, backend: NameHash, part: Option<Part>, tokens: u32, now: Time) {
         let read = self.total_read.entry(backend).or_default();
         *read += u64::from(tokens);
         let copy = CachedCopy {
@@ -73,17 +73,17 @@
     }
 
     /// Reports whether anything is known of the contents of `backend`.
-    pub fn knows(&self, backend: Short) -> bool {
+    pub fn knows(&self, backend: NameHash) -> bool {
         self.total_read.contains_key(&backend) || self.learned.contains(&backend)
     }
 
     /// Reports whether `backend`, whose memory fits `memory` tokens, likely has the part cached.
-    pub fn holds(&self, backend: Short, part: u64, memory: Option<u64>, now: Time) -> bool {
+    pub fn holds(&self, backend: NameHash, part: u64, memory: Option<u64>, now: Time) -> bool {
         let copies = self.parts.get(&part).map_or(&[][..], Vec::as_slice);
         let Some(copy) = copies.iter().find(|c| c.backend == backend) else {
             return false;
         };
-        if self.is_told(backend, now) {
+        if self.has_reports(backend, now) {
             return true;
         }
         let read = self.total_read.get(&backend).copied().unwrap_or_default();
@@ -93,14 +93,20 @@
 
     /// Returns the backend servers that were sent `part` or reported as having it cached, whether
     /// or not they still do.
-    pub fn holders(&self, part: u64) -> impl Iterator<Item = Short> {
+    pub fn holders(&self, part: u64) -> impl Iterator<Item = NameHash> {
         let copies = self.parts.get(&part).into_iter().flatten();
         copies.map(|copy| copy.backend)
     }
 
     /// Returns the tokens of `prompt` that `backend` has to read. A part counts as cached only if
     /// every part before it is; short shared parts are not tracked and count as cached.
-    pub fn unread(&self, prompt: &Prompt, backend: Short, memory: Option<u64>, now: Time) -> u32 {
+    pub fn unread(
+        &self,
+        prompt: &Prompt,
+        backend: NameHash,
+        memory: Option<u64>,
+        now: Time,
+    ) -> u32 {
         let shared = prompt.shared_parts().iter();
         let held = |part: &&Part| part.tokens < LONG || self.holds(backend, part.id, memory, now);
         let read: u32 = shared.take_while(held).map(|part| part.tokens).sum();
@@ -129,7 +135,7 @@
     }
 
     /// Adds a copy known to another box, unless this box already knows of it.
-    pub fn learn(&mut self, holding: Holding, now: Time) {
+    pub fn add_reported(&mut self, holding: Holding, now: Time) {
         self.learned.insert(holding.backend);
         let read = self
             .total_read
@@ -148,7 +154,7 @@
     }
 
     /// Removes everything known of `backend`, which restarted.
-    pub fn forget(&mut self, backend: Short) {
+    pub fn forget(&mut self, backend: NameHash) {
         self.total_read.remove(&backend);
         self.learned.remove(&backend);
         self.reported_until.remove(&backend);
@@ -159,7 +165,7 @@
     }
 
     /// Removes the engines for which `known` returns `false`.
-    pub fn retain(&mut self, known: impl Fn(Short) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(NameHash) -> bool) {
         self.total_read.retain(|backend, _| known(*backend));
         self.learned.retain(|backend| known(*backend));
         self.reported_until.retain(|backend, _| known(*backend));
@@ -170,19 +176,19 @@
     }
 
     /// Records that cache reports of `backend` itself reach this box, at least until `until`.
-    pub fn trust(&mut self, backend: Short, until: Time) {
+    pub fn record_report_time(&mut self, backend: NameHash, until: Time) {
         let known = self.reported_until.entry(backend).or_insert(until);
         *known = until.max(*known);
     }
 
     /// Records that cache changes of `backend` were missed.
-    pub fn distrust(&mut self, backend: Short) {
+    pub fn invalidate_reports(&mut self, backend: NameHash) {
         self.reported_until.remove(&backend);
     }
 
     /// Reports whether what is known of `backend` is based on its own reports rather than estimated
     /// from the prompts sent there.
-    pub fn is_told(&self, backend: Short, now: Time) -> bool {
+    pub fn has_reports(&self, backend: NameHash, now: Time) -> bool {
         self.reported_until
             .get(&backend)
             .is_some_and(|until| now < *until)
@@ -190,13 +196,13 @@
 
     /// Reports whether `backend` was sent `part`, or reported it as cached, and no later report
     /// contradicts that.
-    pub fn names(&self, backend: Short, part: u64) -> bool {
+    pub fn lists_copy(&self, backend: NameHash, part: u64) -> bool {
         self.holders(part).any(|holder| holder == backend)
     }
 
     /// Records a part that `backend` itself reported as cached.
     pub fn confirm(&mut self, holding: Holding, now: Time) {
-        self.learn(holding, now);
+        self.add_reported(holding, now);
         if self.parts.len() > MAX_PARTS {
             self.evict_oldest();
         }
@@ -204,7 +210,7 @@
 
     /// Records that `backend` did not have `part` cached at `made`; copies from prompts sent later
     /// are kept.
-    pub fn drop_part(&mut self, backend: Short, part: u64, made: Time) {
+    pub fn drop_part(&mut self, backend: NameHash, part: u64, made: Time) {
         let Some(copies) = self.parts.get_mut(&part) else {
             return;
         };
@@ -216,7 +222,7 @@
 
     /// Returns all parts with the engines believed to have them cached and the time of their last
     /// use.
-    pub fn copies(&self) -> impl Iterator<Item = (u64, Short, Time)> {
+    pub fn copies(&self) -> impl Iterator<Item = (u64, NameHash, Time)> {
         self.parts.iter().flat_map(|(part, copies)| {
             let copies = copies.iter();
             copies.map(move |copy| (*part, copy.backend, copy.at))
--- a/src/memory/mod.rs
+++ b/src/memory/mod.rs
@@ -4,13 +4,13 @@
 //! |---|---|
 //! | [`prompt`] | what a caller states about its prompt |
 //! | [`cache`] | which engines have which prompt parts cached |
-//! | [`news`] | cache reports of engines |
-//! | [`moved`] | transfer of a run's memory to another engine |
+//! | [`report`] | cache reports of engines |
+//! | [`transfer`] | transfer of a run's memory to another engine |
 
 pub mod cache;
-pub mod moved;
-pub mod news;
 pub mod prompt;
+pub mod report;
+pub mod transfer;
 
 use crate::{
     size::Link,
--- a/src/memory/news.rs
+++ b/src/memory/report.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{memory::prompt::Part, unit::Millis, wire::Short};
+use crate::{memory::prompt::Part, unit::Millis, wire::NameHash};
 
 /// Change in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 
 /// Report from an engine to a box that watches its cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Report {
     /// All cached parts.
     All(Vec<Part>),
     /// Changes since the last report, in order; an empty list is a keep-alive.
@@ -24,7 +24,7 @@
     Gap,
 }
 
-impl News {
+impl Report {
     /// Returns the name of the kind, for counters.
     pub fn kind(&self) -> &'static str {
         match self {
@@ -37,29 +37,29 @@
 
 /// Report from a box to the others on the engines whose caches it watches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Corrections {
     /// How long the receiver considers these engines to be watched.
-    pub lasts: Millis,
+    pub valid_for: Millis,
     /// Engines that reported recently.
-    pub engines: Vec<Word>,
+    pub engines: Vec<EngineCorrections>,
 }
 
 /// Corrections for one engine to what was reported to the boxes so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct EngineCorrections {
     /// The engine.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Hash of its name and incarnation.
-    pub life: Short,
+    pub life: NameHash,
     /// Long parts that are cached although this was not reported to the boxes.
     pub kept: Vec<u64>,
     /// Long parts that are not cached.
-    pub gone: Vec<Gone>,
+    pub gone: Vec<Eviction>,
 }
 
 /// Part that is not cached by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct Eviction {
     /// Identity of the part.
     pub part: u64,
     /// How long the watching box has known this.
--- a/src/memory/moved.rs
+++ b/src/memory/transfer.rs
@@ -23,7 +23,7 @@
 
 /// Result of a call to move a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum Handover {
     /// The copy is complete as of the call, and the run was stopped if that was requested.
     Copied {
         /// Handle of the copy.
@@ -43,7 +43,7 @@
     Lost,
 }
 
-impl Moved {
+impl Handover {
     /// Returns the handle of the copy, if there is one.
     pub fn handle(self) -> Option<Handle> {
         match self {
--- a/src/pin.rs
+++ b/src/pin.rs
@@ -19,9 +19,9 @@
 };
 
 /// How long a new pin may be used.
-pub const LIFE: Millis = Millis(600_000);
+pub const PIN_LIFETIME: Millis = Millis(600_000);
 /// Maximum length of a key, in bytes.
-pub const MAX_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 const TAG: usize = 12;
 const PURPOSE: &str = "pin";
 const MARK: char = '~';
@@ -43,14 +43,14 @@
     /// The key does not begin with a pin: no box ever ran it.
     Malformed,
     /// The pin was signed with another secret: a box with that secret may have run the key.
-    Foreign,
+    WrongSecret,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Malformed => "the idempotency key does not begin with a key prefix from ask",
-            Self::Foreign => "the key prefix was signed with another secret",
+            Self::WrongSecret => "the key prefix was signed with another secret",
         })
     }
 }
@@ -61,7 +61,7 @@
     /// Returns the text of the pin, with which a key begins.
     pub fn prefix(&self, secret: &Secret) -> String {
         let body = postcard::to_stdvec(self).expect("a pin always encodes");
-        let sealed = sign::seal(secret, PURPOSE, body, TAG);
+        let sealed = sign::append_tag(secret, PURPOSE, body, TAG);
         format!("{}{MARK}", BASE64.encode(sealed))
     }
 
@@ -69,10 +69,10 @@
     pub fn read(secret: &Secret, key: &str) -> Result<Self, Error> {
         let (head, _) = key.split_once(MARK).ok_or(Error::Malformed)?;
         let bytes = BASE64.decode(head).map_err(|_| Error::Malformed)?;
-        let (body, tag) = sign::split(&bytes, TAG).ok_or(Error::Malformed)?;
+        let (body, tag) = sign::split_tag(&bytes, TAG).ok_or(Error::Malformed)?;
         let pin = postcard::from_bytes(body).map_err(|_| Error::Malformed)?;
-        if !sign::holds(secret, PURPOSE, body, tag) {
-            return Err(Error::Foreign);
+        if !sign::verify_tag(secret, PURPOSE, body, tag) {
+            return Err(Error::WrongSecret);
         }
         Ok(pin)
     }
--- a/src/pushback.rs
+++ b/src/pushback.rs
@@ -11,25 +11,25 @@
 
 /// The pause that an answer requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Pushback {
     /// No pause is requested.
-    Silent,
+    Absent,
     /// The server requests that this box send it nothing for this time.
-    Span(Millis),
+    Pause(Millis),
     /// The header is not a time in seconds and is ignored.
     Unreadable,
 }
 
-impl Word {
+impl Pushback {
     /// Reads the header of an answer. The header may be repeated; the longest time applies. Times
     /// are in seconds, fractions included; a date counts as unreadable, since clocks may differ.
     pub fn read<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut fields = fields.into_iter().peekable();
         if fields.peek().is_none() {
-            return Self::Silent;
+            return Self::Absent;
         }
         let longest = fields.filter_map(parse_seconds).max();
-        longest.map_or(Self::Unreadable, Self::Span)
+        longest.map_or(Self::Unreadable, Self::Pause)
     }
 }
 
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -20,7 +20,7 @@
 use crate::{
     content::Fingerprint,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 /// Total weight at which a content is quarantined: three crashes soon after it started.
@@ -58,7 +58,7 @@
     /// The content.
     pub content: Fingerprint,
     /// The incarnation of the server that crashed.
-    pub life: Short,
+    pub life: NameHash,
     /// The weight of the crash as evidence.
     pub weight: u32,
 }
@@ -149,7 +149,7 @@
 /// One crash of a server that was running a content.
 #[derive(Clone, Copy, Debug)]
 struct Crash {
-    life: Short,
+    life: NameHash,
     weight: u32,
     at: Time,
 }
@@ -196,22 +196,22 @@
     }
 
     /// Reports whether additional evidence of weight `more` would quarantine `content`.
-    pub fn would_hold(&self, content: &Fingerprint, more: u32) -> bool {
+    pub fn would_quarantine(&self, content: &Fingerprint, more: u32) -> bool {
         let evidence = self.records.get(content).map_or(0, Record::evidence);
         evidence + more >= QUARANTINE_WEIGHT
     }
 
     /// Reports whether `content` was answered completely within the protection time.
-    pub fn has_alibi(&self, content: &Fingerprint, now: Time) -> bool {
+    pub fn has_recent_success(&self, content: &Fingerprint, now: Time) -> bool {
         let seen = self.protected.get(content);
         seen.is_some_and(|at| now.since(*at) < PROTECTION_TIME)
     }
 
     /// Records a crash. Returns `None` if the crash is already recorded or the content is protected
     /// by a recent complete answer.
-    pub fn strike(&mut self, strike: Strike, now: Time) -> Option<Step> {
+    pub fn record_crash(&mut self, strike: Strike, now: Time) -> Option<Step> {
         let content = strike.content;
-        if self.has_alibi(&content, now) {
+        if self.has_recent_success(&content, now) {
             return None;
         }
         let record = self.record(content, now);
@@ -238,10 +238,10 @@
     }
 
     /// Applies another box's report that a content is quarantined.
-    pub fn hold(&mut self, held: Held, now: Time) -> Option<Step> {
+    pub fn apply_report(&mut self, held: Held, now: Time) -> Option<Step> {
         let Held { content, left } = held;
         let left = left.min(HOLD);
-        if left == Millis(0) || self.has_alibi(&content, now) {
+        if left == Millis(0) || self.has_recent_success(&content, now) {
             return None;
         }
         let record = self.record(content, now);
@@ -275,10 +275,10 @@
 
     /// Returns the quarantined contents to report to other boxes: the latest first, evenly divided
     /// between customers.
-    pub fn told(&self, now: Time) -> Vec<Held> {
+    pub fn to_report(&self, now: Time) -> Vec<Held> {
         let mut held = self.all_held(now);
         held.sort_by_key(|held| (std::cmp::Reverse(held.left), held.content));
-        let mut counts: HashMap<Short, usize> = HashMap::new();
+        let mut counts: HashMap<NameHash, usize> = HashMap::new();
         let mut ranked: Vec<(usize, Held)> = Vec::with_capacity(held.len());
         for held in held {
             let rank = counts.entry(held.content.customer).or_default();
@@ -324,12 +324,12 @@
     }
 
     /// Makes room for one more record of `customer`.
-    fn make_room(&mut self, customer: Short) {
+    fn make_room(&mut self, customer: NameHash) {
         let same_customer = |c: &&Fingerprint| c.customer == customer;
         if self.records.keys().filter(same_customer).count() >= MAX_EACH {
             self.remove_weakest(customer);
         } else if self.records.len() >= MAX_MARKS {
-            let mut counts: HashMap<Short, usize> = HashMap::new();
+            let mut counts: HashMap<NameHash, usize> = HashMap::new();
             for content in self.records.keys() {
                 *counts.entry(content.customer).or_default() += 1;
             }
@@ -344,7 +344,7 @@
 
     /// Removes the record of `customer` with the least evidence: those not quarantined first, then
     /// by weight, then by the time of the last evidence.
-    fn remove_weakest(&mut self, customer: Short) {
+    fn remove_weakest(&mut self, customer: NameHash) {
         let records = self.records.iter().filter(|(c, _)| c.customer == customer);
         let weakest = records.min_by_key(|(content, record)| {
             (
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -10,7 +10,7 @@
 
 /// The position of a request: its queue, and its customer within it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct Position {
     /// The name of the queue, whose requests may all go to the same places.
     pub line: Service,
     /// The service that the requests wait for.
@@ -24,7 +24,7 @@
 /// The order of queues: by priority, then by name.
 pub type Rank = (u8, Service);
 
-impl Spot {
+impl Position {
     fn rank(&self) -> Rank {
         (self.priority, self.line.clone())
     }
@@ -39,7 +39,7 @@
 }
 
 impl RouteQueue {
-    fn new(spot: &Spot) -> Self {
+    fn new(spot: &Position) -> Self {
         Self {
             service: spot.service.clone(),
             rotation: VecDeque::new(),
@@ -60,7 +60,7 @@
 }
 
 impl Queue {
-    fn route_queue(&mut self, spot: &Spot) -> &mut RouteQueue {
+    fn route_queue(&mut self, spot: &Position) -> &mut RouteQueue {
         let rank = spot.rank();
         self.queues
             .entry(rank)
@@ -68,7 +68,7 @@
     }
 
     /// Appends a request to its customer's queue; returns false if the box holds too many requests.
-    pub fn push(&mut self, spot: &Spot, request: Request) -> bool {
+    pub fn push(&mut self, spot: &Position, request: Request) -> bool {
         if self.count >= MAX_WAITING {
             return false;
         }
@@ -86,7 +86,7 @@
     }
 
     /// Puts back a request that was popped but could not be placed; its customer keeps the turn.
-    pub fn put_back(&mut self, spot: &Spot, request: Request) {
+    pub fn put_back(&mut self, spot: &Position, request: Request) {
         let route_queue = self.route_queue(spot);
         route_queue.rotation.retain(|c| *c != spot.customer);
         route_queue.rotation.push_front(spot.customer.clone());
@@ -117,7 +117,7 @@
     }
 
     /// Removes a request at any position.
-    pub fn remove(&mut self, spot: &Spot, request: Request) {
+    pub fn remove(&mut self, spot: &Position, request: Request) {
         let rank = spot.rank();
         let Some(route_queue) = self.queues.get_mut(&rank) else {
             return;
@@ -140,7 +140,7 @@
     /// Returns how many requests are served before a new one at `spot`, by round-robin turns: of
     /// another customer's queue, however long, no more than its own customer will have queued
     /// itself.
-    pub fn ahead(&self, spot: &Spot) -> usize {
+    pub fn ahead(&self, spot: &Position) -> usize {
         let Some(route_queue) = self.queues.get(&spot.rank()) else {
             return 0;
         };
