--- a/src/reducer/admit.rs
+++ b/src/reducer/admit.rs
@@ -2,14 +2,14 @@
 //! allotment.
 
 use crate::{
-    config::{Ask, Config, Refusal},
+    config::{Config, Query, Refusal},
     id,
     policy::Policy,
     reducer::{
         State,
         effect::{Effect, Reply},
         event::{Arrival, Credential, Hop, Key},
-        job::{Job, SOON},
+        job::{DEFAULT_RETRY_AFTER, Job},
     },
     unit::{Millis, Time},
     verdict::Verdict,
@@ -23,7 +23,7 @@
 /// and read the store within some hundred milliseconds, and callers retry only once.
 const NOT_READY_RETRY_AFTER: Millis = Millis(500);
 
-pub(super) fn refusal(refusal: Refusal) -> Reply {
+pub(super) fn refusal_reply(refusal: Refusal) -> Reply {
     let status = match refusal {
         Refusal::UnknownCustomer => 401,
         Refusal::NoRoute | Refusal::NoModel | Refusal::NoSelector => 404,
@@ -31,7 +31,7 @@
     };
     let reply = Reply::new(status, Verdict::NotRun, refusal);
     match refusal {
-        Refusal::NoRegion => reply.after(SOON),
+        Refusal::NoRegion => reply.with_retry_after(DEFAULT_RETRY_AFTER),
         _ => reply,
     }
 }
@@ -62,7 +62,8 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Reply> {
         let unready = || {
-            Reply::new(503, Verdict::NotRun, "this box is not ready").after(NOT_READY_RETRY_AFTER)
+            Reply::new(503, Verdict::NotRun, "this box is not ready")
+                .with_retry_after(NOT_READY_RETRY_AFTER)
         };
         let config = self.config.clone().ok_or_else(unready)?;
         if self.phase(now) == Phase::Unready {
@@ -71,33 +72,35 @@
         if self.phase(now) == Phase::Leaving && matches!(arrival.hop, Hop::Relay(_)) {
             // The request may outlast this box, and the other region can still send it elsewhere.
             let reason = "this box is stopping";
-            return Err(Reply::new(503, Verdict::NotRun, reason).after(SOON));
+            return Err(
+                Reply::new(503, Verdict::NotRun, reason).with_retry_after(DEFAULT_RETRY_AFTER)
+            );
         }
         let customer = self
             .effective_customer(&config, &arrival)
-            .map_err(refusal)?;
-        let ask = Ask {
+            .map_err(refusal_reply)?;
+        let ask = Query {
             customer,
             host: arrival.host,
             path: arrival.path,
             model: arrival.model,
-            draw: arrival.draw,
+            random: arrival.draw,
         };
-        let plan = config.plan(&ask).map_err(refusal)?;
-        if matches!(arrival.hop, Hop::Relay(_)) && !plan.permits(&self.table.me.region) {
+        let plan = config.plan(&ask).map_err(refusal_reply)?;
+        if matches!(arrival.hop, Hop::Relay(_)) && !plan.permits_region(&self.table.me.region) {
             let reason = "this region is not permitted";
             return Err(Reply::new(503, Verdict::NotRun, reason));
         }
         let known = match &arrival.key {
-            Key::Good(key) => self.ledger.knows(&ask.customer, key),
+            Key::Good(key) => self.ledger.contains(&ask.customer, key),
             Key::Absent | Key::Bad(_) => false,
         };
         // A repeated send of a known key causes no new work and is not charged.
         let mut booking = None;
         if arrival.hop == Hop::Direct && !known {
             let prompt = arrival.prompt.as_ref();
-            booking = self.charge(now, plan.customer, prompt, ask.draw)?;
-            self.budgets.earn(&plan.service, now);
+            booking = self.charge(now, plan.customer, prompt, ask.random)?;
+            self.budgets.record_request(&plan.service, now);
             self.demand.note(&plan.route.name, now);
         }
         let time_left = arrival
@@ -106,7 +109,7 @@
             .min(MAX_DEADLINE);
         let time_left = plan
             .route
-            .hold
+            .max_duration
             .map_or(time_left, |hold| time_left.min(hold));
         let runs = plan.route.attempts.min(arrival.runs.unwrap_or(u32::MAX));
         let job = Job {
@@ -115,15 +118,15 @@
             runs,
             target: plan
                 .route
-                .target
+                .target_latency
                 .map(|t| self.remaining_target(&arrival.hop, t)),
             deadline: now + time_left,
             hop: arrival.hop,
-            booking,
+            charge: booking,
             ..Job::new(&plan, ask, arrival.content, now)
         };
         // The box that owns the key has already decided on a relayed request, which carries no key.
-        let keyed = !job.repeatable && plan.route.keyed;
+        let keyed = !job.repeatable && plan.route.requires_key;
         if keyed && !matches!(job.hop, Hop::Relay(_)) {
             return self.admit_key(now, arrival.request, job, &arrival.key, out);
         }
@@ -149,7 +152,7 @@
                 let customer = self.config.as_ref()?.customer(hash)?;
                 Some(customer.name.clone())
             }
-            Credential::Vouched(customer) => Some(customer.clone()),
+            Credential::Verified(customer) => Some(customer.clone()),
         }
     }
 
@@ -193,7 +196,7 @@
         if self.waiting_for(&service) > 0 {
             self.drain(now, &service, out);
         }
-        if self.place(now, request, out) {
+        if self.try_place(now, request, out) {
             return;
         }
         self.enqueue(request, out);
--- a/src/reducer/allot.rs
+++ b/src/reducer/allot.rs
@@ -24,12 +24,12 @@
         JOIN_GRACE, State,
         control::Control,
         effect::Reply,
-        job::{self, Booking, Job},
+        job::{self, Charge, Job},
         status::Allotted,
     },
     unit::{Millis, Time},
     verdict::Verdict,
-    wire::{Short, Use},
+    wire::{NameHash, Use},
 };
 
 /// Weight of the customer's use in a region's share; the rest follows the backend servers.
@@ -47,14 +47,14 @@
 
 /// How each customer's use was distributed over the regions while all regions heard each other.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Splits {
+pub(super) struct Distribution {
     uses: HashMap<id::Customer, BTreeMap<Region, f64>>,
     last_sample: Option<Time>,
     /// The fraction of each region's boxes whose use is currently not heard.
     unheard_parts: Vec<(Region, f64)>,
 }
 
-impl Splits {
+impl Distribution {
     /// Returns the share of `region` in a customer's use, or `None` if nothing is known.
     fn share(&self, customer: &id::Customer, region: &Region) -> Option<f64> {
         let uses = self.uses.get(customer)?;
@@ -66,8 +66,8 @@
 
 impl Job {
     /// Records that the last run did not take place, so that its booking is free again.
-    pub(super) fn unspend(&mut self) {
-        if let Some(booking) = &mut self.booking {
+    pub(super) fn release_charge(&mut self) {
+        if let Some(booking) = &mut self.charge {
             booking.spent = false;
         }
     }
@@ -81,7 +81,7 @@
         customer: &Customer,
         prompt: Option<&Prompt>,
         draw: u64,
-    ) -> Result<Option<Booking>, Reply> {
+    ) -> Result<Option<Charge>, Reply> {
         let Some(allotment) = &customer.allotment else {
             return Ok(None);
         };
@@ -94,10 +94,10 @@
             let name = &customer.name;
             let reason = format_args!("over the allotment: customer={name} cost={cost} {known}");
             let reply = Reply::new(429, Verdict::NotRun, reason);
-            reply.after(job::spread(wait.0 as f64, draw))
+            reply.with_retry_after(job::jittered(wait.0 as f64, draw))
         };
         taken.map_err(over)?;
-        Ok(Some(Booking {
+        Ok(Some(Charge {
             cost,
             at: now,
             spent: false,
@@ -109,7 +109,7 @@
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
-        let Some(booking) = &mut job.booking else {
+        let Some(booking) = &mut job.charge else {
             return;
         };
         if !std::mem::replace(&mut booking.spent, true) {
@@ -125,20 +125,20 @@
 
     /// Refunds the booking of a request that certainly did not run.
     pub(super) fn give_back(&mut self, job: &Job) {
-        if let Some(booking) = job.booking.filter(|booking| !booking.spent) {
+        if let Some(booking) = job.charge.filter(|booking| !booking.spent) {
             let customer = &job.ask.customer;
-            self.accounts.give_back(customer, booking.cost, booking.at);
+            self.accounts.refund(customer, booking.cost, booking.at);
         }
     }
 
     /// Returns what this box knows of the other boxes' use of a customer's allotment.
     fn knowledge(&self, now: Time, customer: &id::Customer) -> Knowledge {
-        let short = Short::of(customer.as_str());
+        let short = NameHash::of(customer.as_str());
         let just_started = now < Time(0) + JOIN_GRACE;
-        let here = match self.table.use_here(short, now) {
+        let here = match self.table.use_elsewhere_in_region(short, now) {
             Some(here) => here,
             None if just_started => Sum::default(),
-            None => return Knowledge::Alone(self.table.known_boxes()),
+            None => return Knowledge::Isolated(self.table.known_boxes()),
         };
         let mut others = here;
         for (_, remote) in self.table.reachable(now) {
@@ -155,7 +155,7 @@
         } else {
             self.spendable_part(customer)
         };
-        Knowledge::Heard { others, part }
+        Knowledge::Reported { others, part }
     }
 
     /// Estimates the use by the other boxes of the region from this box's own, until it has heard
@@ -172,7 +172,7 @@
 
     /// Returns the part of a customer's allotment that the boxes which this one hears may spend.
     fn spendable_part(&self, customer: &id::Customer) -> f64 {
-        let unheard_parts = self.splits.unheard_parts.iter();
+        let unheard_parts = self.distribution.unheard_parts.iter();
         let lost: f64 = unheard_parts
             .map(|(r, unheard_part)| unheard_part * self.share(customer, r))
             .sum();
@@ -205,8 +205,8 @@
             let name = &customer.name;
             let own = self.accounts.sum(name, now);
             let (others, part) = match self.knowledge(now, name) {
-                Knowledge::Heard { others, part } => (others, part),
-                Knowledge::Alone(boxes) => (Sum::default(), 1.0 / boxes.max(1) as f64),
+                Knowledge::Reported { others, part } => (others, part),
+                Knowledge::Isolated(boxes) => (Sum::default(), 1.0 / boxes.max(1) as f64),
             };
             let counts = self.accounts.counts(name);
             Some(Allotted {
@@ -228,26 +228,36 @@
     /// Returns a region's share of a customer's allotment.
     fn share(&self, customer: &id::Customer, region: &Region) -> f64 {
         let by_servers = self.fleet.share(region);
-        let by_use = self.splits.share(customer, region).unwrap_or(by_servers);
+        let by_use = self
+            .distribution
+            .share(customer, region)
+            .unwrap_or(by_servers);
         USE_WEIGHT * by_use + (1.0 - USE_WEIGHT) * by_servers
     }
 
     /// Updates how customers' use is distributed, as long as all regions hear each other.
-    pub(super) fn split_allotments(&mut self, now: Time) {
-        let Some(config) = self.config.clone().filter(|c| c.is_limited()) else {
+    pub(super) fn update_distribution(&mut self, now: Time) {
+        let Some(config) = self.config.clone().filter(|c| c.has_allotments()) else {
             return;
         };
-        self.splits.unheard_parts = self.unheard_parts(now);
-        let due = Control::due(&mut self.splits.last_sample, SAMPLE_PERIOD, now);
-        if !due || !self.splits.unheard_parts.is_empty() {
+        self.distribution.unheard_parts = self.unheard_parts(now);
+        let due = Control::due(&mut self.distribution.last_sample, SAMPLE_PERIOD, now);
+        if !due || !self.distribution.unheard_parts.is_empty() {
             return;
         }
         let limited = config.customers.values().filter(|c| c.allotment.is_some());
         for customer in limited {
-            let short = Short::of(customer.name.as_str());
-            let here = self.table.use_here(short, now).unwrap_or_default();
+            let short = NameHash::of(customer.name.as_str());
+            let here = self
+                .table
+                .use_elsewhere_in_region(short, now)
+                .unwrap_or_default();
             let own = here.used + self.accounts.sum(&customer.name, now).used;
-            let uses = self.splits.uses.entry(customer.name.clone()).or_default();
+            let uses = self
+                .distribution
+                .uses
+                .entry(customer.name.clone())
+                .or_default();
             let mut update = |region: &Region, used: f64| {
                 let known = uses.entry(region.clone()).or_insert(used);
                 *known += SAMPLE_ALPHA * (used - *known);
@@ -262,7 +272,7 @@
             }
         }
         let known = |name: &id::Customer| config.customers.contains_key(name);
-        self.splits.uses.retain(|name, _| known(name));
+        self.distribution.uses.retain(|name, _| known(name));
         self.accounts.retain(known);
     }
 }
--- a/src/reducer/ask.rs
+++ b/src/reducer/ask.rs
@@ -9,10 +9,10 @@
     policy::Policy,
     reducer::{
         State,
-        admit::refusal,
-        effect::{Detour, Effect, Entry, Reply},
+        admit::refusal_reply,
+        effect::{Effect, Entry, Fallback, Reply},
         event::Credential,
-        job::SOON,
+        job::DEFAULT_RETRY_AFTER,
     },
     unit::{Millis, Time},
     verdict::Verdict,
@@ -43,8 +43,9 @@
             .and_then(|(config, name)| config.customers.get(&name));
         let Some(customer) = customer else {
             let reply = match self.config {
-                Some(_) => refusal(Refusal::UnknownCustomer),
-                None => Reply::new(503, Verdict::NotRun, "this box is not ready").after(SOON),
+                Some(_) => refusal_reply(Refusal::UnknownCustomer),
+                None => Reply::new(503, Verdict::NotRun, "this box is not ready")
+                    .with_retry_after(DEFAULT_RETRY_AFTER),
             };
             out.push(Effect::Reply { request, reply });
             return;
@@ -97,10 +98,10 @@
         });
     }
 
-    fn detour(&self, now: Time, region: &id::Region, host: Option<&str>) -> Detour {
+    fn detour(&self, now: Time, region: &id::Region, host: Option<&str>) -> Fallback {
         let config = self.config.as_ref();
-        let routes = config.into_iter().flat_map(|c| c.of_host(host));
-        Detour {
+        let routes = config.into_iter().flat_map(|c| c.routes_of_host(host));
+        Fallback {
             region: region.clone(),
             host: host.map(str::to_owned),
             planned: self.is_planned_stop(now, region),
@@ -117,7 +118,9 @@
         region: &id::Region,
     ) -> (u64, usize, usize) {
         let config = self.config.as_ref();
-        let routes = config.into_iter().flat_map(|c| c.permitted(host, region));
+        let routes = config
+            .into_iter()
+            .flat_map(|c| c.routes_in_region(host, region));
         routes.fold((0, 0, 0), |(seen, used, routes), route| {
             let uses = usize::from(self.demand.is_used(route, now));
             (seen + self.demand.seen(route), used + uses, routes + 1)
@@ -131,8 +134,10 @@
             return false;
         };
         let used = |route: &&Route| self.demand.is_used(route, now);
-        let any = config.of_host(host).any(|route| used(&route));
-        let mut relevant = config.of_host(host).filter(|route| !any || used(route));
+        let any = config.routes_of_host(host).any(|route| used(&route));
+        let mut relevant = config
+            .routes_of_host(host)
+            .filter(|route| !any || used(route));
         relevant.all(|route| route.permits(region))
     }
 
@@ -143,8 +148,9 @@
             let absent = self.absent_since(region);
             return absent.is_some_and(|since| now.since(since) < MAX_RESTART);
         }
-        let stopping =
-            |peer: &Peer| peer.last.phase == Phase::Leaving && now.since(peer.heard) < MAX_RESTART;
+        let stopping = |peer: &Peer| {
+            peer.last.phase == Phase::Leaving && now.since(peer.received_at) < MAX_RESTART
+        };
         self.phase(now) == Phase::Leaving || self.table.peers().any(stopping)
     }
 
@@ -156,11 +162,11 @@
             return reported;
         };
         if remote.digest.stopping {
-            return Some(remote.heard);
+            return Some(remote.received_at);
         }
         // Starting boxes send digests for their region before they accept work.
-        let back = !remote.digest.doors.is_empty();
-        reported.filter(|since| !back || *since > remote.heard)
+        let back = !remote.digest.endpoints.is_empty();
+        reported.filter(|since| !back || *since > remote.received_at)
     }
 
     /// Records the planned stop of a region before a digest of its restarted boxes replaces the
@@ -168,7 +174,7 @@
     pub(super) fn record_absence(&mut self, region: &id::Region) {
         let stopped = self.table.region(region).filter(|r| r.digest.stopping);
         if let Some(remote) = stopped {
-            let since = remote.heard;
+            let since = remote.received_at;
             self.control.absences.insert(region.clone(), since);
         }
     }
@@ -212,8 +218,8 @@
             busy: Some(peer.last.busy),
         });
         let remote_doors = self.table.reachable(now).flat_map(|(_, remote)| {
-            let age = now.since(remote.heard);
-            remote.digest.doors.iter().map(move |door| Entry {
+            let age = now.since(remote.received_at);
+            remote.digest.endpoints.iter().map(move |door| Entry {
                 contact: door.contact.clone(),
                 incarnation: door.incarnation,
                 uptime: door.uptime + age,
@@ -222,7 +228,7 @@
         });
         let mut boxes: Vec<Entry> = me.into_iter().chain(local).chain(remote_doors).collect();
         let mine = &self.table.me.region;
-        let usual = self.table.usual_weight(now);
+        let usual = self.table.median_weight(now);
         boxes.sort_by_cached_key(|e| {
             let region = &e.contact.region;
             let weight = self.table.room_of(&e.contact).weight.unwrap_or(usual);
--- a/src/reducer/cold.rs
+++ b/src/reducer/cold.rs
@@ -8,7 +8,7 @@
 use crate::{
     config::{Backend, Config},
     id::{self, Service},
-    member::FORGET,
+    member::PEER_RETENTION,
     policy::Policy,
     reducer::{JOIN_GRACE, State},
     unit::{Millis, Rate, Time},
@@ -20,7 +20,7 @@
 /// Share of a cold backend server's rate that is used, because boxes may disagree on who sends.
 const RATE_SAFETY_FACTOR: f64 = 0.8;
 /// How long a box keeps its share after its heartbeat was due. A box that was suspended for less
-/// than [`FREEZE`](super::FREEZE) does not notice and goes on using its share. Longer than the
+/// than [`SUSPENSION_THRESHOLD`](super::SUSPENSION_THRESHOLD) does not notice and goes on using its share. Longer than the
 /// store may be silent before it counts as lost, so that a box that is cut off from everything
 /// never takes more.
 pub(super) const SHARE_RETENTION: Millis = Millis(5000);
@@ -41,11 +41,13 @@
         if !self.knows_region(now) {
             return Some(Rate(0.0));
         }
-        let retention = match self.hears_store(now) {
+        let retention = match self.is_store_reachable(now) {
             true => SHARE_RETENTION,
-            false => FORGET,
+            false => PEER_RETENTION,
         };
-        let (rank, boxes) = self.table.standing(service.as_str(), |_| retention, now);
+        let (rank, boxes) = self
+            .table
+            .rank_among_active(service.as_str(), |_| retention, now);
         let senders = MAX_SENDERS.min(boxes);
         let share = RATE_SAFETY_FACTOR * rate.0 / senders as f64;
         Some(Rate(if rank < senders { share } else { 0.0 }))
@@ -54,23 +56,23 @@
     /// Reports whether this box has run without a suspension for long enough to know the other
     /// boxes of its region.
     pub(super) fn knows_region(&self, now: Time) -> bool {
-        now >= Time(0) + JOIN_GRACE && self.control.is_awake_for(JOIN_GRACE, now)
+        now >= Time(0) + JOIN_GRACE && self.control.has_run_for(JOIN_GRACE, now)
     }
 
     /// Reports whether this box is isolated: it hears neither the store nor any box that it knew. A
     /// failure domain may then be evacuated, and its servers cold, without its knowledge. A box
     /// that never had peers, or one in a region whose boxes hear each other, is not isolated in
     /// this sense.
-    pub(super) fn hears_nobody(&self, now: Time) -> bool {
+    pub(super) fn is_isolated(&self, now: Time) -> bool {
         let had_others = self.table.peers().next().is_some();
-        had_others && !self.hears_store(now) && self.table.live(now).next().is_none()
+        had_others && !self.is_store_reachable(now) && self.table.live(now).next().is_none()
     }
 
     /// Reports whether `name` is cold as far as this box knows. An isolated box treats all servers
     /// as cold: a cold server got 23 requests in a second from one such box, where 17.5 were
     /// allowed.
     pub(super) fn counts_as_cold(&self, now: Time, name: &id::Backend) -> bool {
-        self.fleet.is_cold(name, now) || self.hears_nobody(now)
+        self.fleet.is_cold(name, now) || self.is_isolated(now)
     }
 
     /// Reports whether `backend` is warm, or cold but within its rate for `service`.
--- a/src/reducer/control.rs
+++ b/src/reducer/control.rs
@@ -11,10 +11,10 @@
     config::{Config, Version},
     fleet::{Change, Era, Revision},
     id::{Backend, BoxName, Domain, Region, Service},
-    member::HEARTBEAT,
+    member::MIN_HEARTBEAT_PERIOD,
     policy::Policy,
     reducer::{
-        FREEZE, JOIN_GRACE, State, WAKE_GRACE,
+        JOIN_GRACE, RESUME_GRACE, SUSPENSION_THRESHOLD, State,
         effect::{Alarm, Effect, Follow, Note},
         era::Evacuations,
         event::Source,
@@ -23,7 +23,7 @@
         roster::StoreLag,
     },
     unit::{Millis, Time},
-    wire::{Body, Frame, Phase, Short},
+    wire::{Body, Frame, NameHash, Phase},
 };
 
 /// Boxes of a region that watch the store for configurations.
@@ -59,7 +59,7 @@
     pub(super) idle_region: bool,
     pub(super) last_store_report: Option<Time>,
     /// Whether announced departures of backend servers are still to be sent to the region.
-    pub(super) departures_untold: bool,
+    pub(super) departures_unsent: bool,
     /// The latest era of the store that this box has seen.
     pub(super) era: Era,
     /// When the store last came back from a backup copy.
@@ -97,7 +97,7 @@
         if self.leaving {
             return Phase::Leaving;
         }
-        let awake = self.is_awake(now);
+        let awake = self.has_resumed(now);
         let joined = skip_join || self.heard_peer || now.0 >= JOIN_GRACE.0;
         if configured && awake && joined {
             Phase::Ready
@@ -108,12 +108,12 @@
 
     /// Reports whether enough time has passed since the last freeze of the process for current
     /// messages to have arrived.
-    pub(super) fn is_awake(&self, now: Time) -> bool {
-        self.is_awake_for(WAKE_GRACE, now)
+    pub(super) fn has_resumed(&self, now: Time) -> bool {
+        self.has_run_for(RESUME_GRACE, now)
     }
 
     /// Reports whether the process has not been frozen within the last `span`.
-    pub(super) fn is_awake_for(&self, span: Millis, now: Time) -> bool {
+    pub(super) fn has_run_for(&self, span: Millis, now: Time) -> bool {
         self.resumed
             .is_none_or(|resumed| now.since(resumed) >= span)
     }
@@ -128,26 +128,30 @@
 }
 
 impl<P: Policy> State<P> {
-    pub(super) fn notice_freeze(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn detect_suspension(&mut self, now: Time, out: &mut Vec<Effect>) {
         let pause = self
             .control
             .last_step
             .map_or(Millis(0), |last| now.since(last));
         self.control.last_step = Some(now);
-        if pause > FREEZE {
+        if pause > SUSPENSION_THRESHOLD {
             self.control.resumed = Some(now);
-            out.push(Effect::Alarm(Alarm::Frozen(pause)));
+            out.push(Effect::Alarm(Alarm::Suspended(pause)));
         }
     }
 
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.expire(now, out);
         self.expire_evacuations(now, out);
-        self.take_copied_rollouts(now, out);
+        self.confirm_rollouts(now, out);
         if self.fleet.sweep(now) {
             self.forget_removed_servers();
         }
-        let forgotten = self.ledger.expire(now).into_iter().map(Effect::Forget);
+        let forgotten = self
+            .ledger
+            .expire(now)
+            .into_iter()
+            .map(Effect::DeleteAnswer);
         out.extend(forgotten);
         self.update_full(now, out);
         // Boxes that were last announced a shorter period, when this box knew fewer others, still
@@ -161,7 +165,7 @@
             let greeted = &mut self.control.greeted;
             greeted.retain(|_, at| now.since(*at) < GREETING_RETRY_INTERVAL);
             self.table.count_boxes(now);
-            self.budgets.share(self.sharers());
+            self.budgets.set_boxes(self.sharers());
             self.accounts.sweep(now);
             self.quarantine.sweep(now);
             self.update_store_watch(now, out);
@@ -169,7 +173,11 @@
             self.broadcast_heartbeat(now, out);
             self.fetch_newer_config(now, out);
         }
-        if Control::due(&mut self.control.last_monitor_heartbeat, HEARTBEAT, now) {
+        if Control::due(
+            &mut self.control.last_monitor_heartbeat,
+            MIN_HEARTBEAT_PERIOD,
+            now,
+        ) {
             self.heartbeat_monitors(now, out);
         }
         let period = self.table.digest_period();
@@ -177,13 +185,13 @@
             self.send_digests(now, out);
         }
         self.update_follow_mode(now, out);
-        self.split_allotments(now);
+        self.update_distribution(now);
         self.report_usage(now, out);
         self.watch_rollouts(now, out);
-        self.tell_cleared(now, out);
-        self.split_limits(now);
-        self.tell_limits(now, out);
-        self.tell_departures(now, out);
+        self.send_cleared(now, out);
+        self.update_limit_shares(now);
+        self.send_limits(now, out);
+        self.send_departures(now, out);
         self.report_isolation(now, out);
         self.fetch_missing_roster(now, out);
         self.request_inventories(now, out);
@@ -202,26 +210,32 @@
         let live = (boxes.collect(), regions.collect());
         let (boxes, regions) = std::mem::replace(&mut self.control.live, live);
         let (new_boxes, new_regions) = &self.control.live;
-        let joined = new_boxes.difference(&boxes).cloned().map(Note::Heard);
-        let lost = boxes.difference(new_boxes).cloned().map(Note::Lost);
-        let reached = new_regions.difference(&regions).cloned().map(Note::Reached);
+        let joined = new_boxes
+            .difference(&boxes)
+            .cloned()
+            .map(Note::BoxReachable);
+        let lost = boxes.difference(new_boxes).cloned().map(Note::BoxSilent);
+        let reached = new_regions
+            .difference(&regions)
+            .cloned()
+            .map(Note::RegionReachable);
         let unreached = regions
             .difference(new_regions)
             .cloned()
-            .map(Note::Unreached);
+            .map(Note::RegionSilent);
         let notes = joined.chain(lost).chain(reached).chain(unreached);
         out.extend(notes.map(Effect::Noted));
     }
 
     /// Reports when this box stops or starts hearing other boxes.
     fn report_isolation(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let isolated = self.hears_nobody(now);
+        let isolated = self.is_isolated(now);
         if isolated != self.control.isolated {
             self.control.isolated = isolated;
             let note = if isolated {
-                Note::Alone
+                Note::Isolated
             } else {
-                Note::Accompanied
+                Note::Reconnected
             };
             out.push(Effect::Noted(note));
         }
@@ -286,18 +300,20 @@
         out.push(Effect::Fetch { peer, version });
     }
 
-    pub(super) fn heard(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
+    pub(super) fn receive_frame(&mut self, now: Time, frame: Frame, out: &mut Vec<Effect>) {
         if !self.table.admit(&frame, now) {
             return;
         }
         match &frame.body {
             Body::Heartbeat(beat) if beat.contact.region == self.table.me.region => {
                 self.control.heard_peer = true;
-                self.hear_held(now, &beat.held, out);
-                self.hear_limits(now, &frame.from, &beat.limits, beat.contact.gossip, out);
-                self.learn_departures(now, &frame.from, &beat.departures, out);
+                self.receive_held(now, &beat.held, out);
+                self.receive_limits(now, &frame.from, &beat.limits, beat.contact.gossip, out);
+                self.receive_departures(now, &frame.from, &beat.departures, out);
                 let to = beat.contact.gossip;
-                let fresh = self.table.heartbeat(frame.incarnation, beat.clone(), now);
+                let fresh = self
+                    .table
+                    .apply_heartbeat(frame.incarnation, beat.clone(), now);
                 if fresh {
                     self.greet(now, to, &frame.from, beat.boxes, out);
                 }
@@ -305,10 +321,10 @@
             Body::Digest(digest) if digest.region != self.table.me.region => {
                 self.control.heard_peer = true;
                 self.record_absence(&digest.region);
-                self.table.digest(digest.clone(), now);
+                self.table.apply_digest(digest.clone(), now);
                 self.receive_absences(now, &digest.absences);
                 self.demand.merge(&digest.used, now);
-                self.hear_held(now, &digest.held, out);
+                self.receive_held(now, &digest.held, out);
                 if digest.spread {
                     self.forward_digest(now, &frame, digest, out);
                 }
@@ -320,15 +336,15 @@
             Body::Silent(silent) => self.receive_silence_report(now, silent, out),
             Body::Report(report) => self.receive_report(now, &frame.from, report),
             Body::Tally(tally) => self.receive_tally(now, &frame.from, tally, out),
-            Body::Marks(marks) => self.hear_marks(now, &frame, marks, out),
+            Body::Marks(marks) => self.receive_marks(now, &frame, marks, out),
             Body::Limits(limits) => {
-                self.learn_limits(now, &frame.from, limits, out);
+                self.merge_limits(now, &frame.from, limits, out);
             }
             Body::Departures(departures) => {
-                self.learn_departures(now, &frame.from, departures, out);
+                self.receive_departures(now, &frame.from, departures, out);
             }
-            Body::Kept(message) => self.receive_corrections(now, message),
-            Body::News(update) => self.receive_store_update(now, &frame.from, update, out),
+            Body::Corrections(message) => self.receive_corrections(now, message),
+            Body::StoreUpdate(update) => self.receive_store_update(now, &frame.from, update, out),
             Body::Digest(_) => {}
         }
         let version = match &frame.body {
@@ -342,7 +358,7 @@
         }
     }
 
-    pub(super) fn offered(
+    pub(super) fn apply_config(
         &mut self,
         now: Time,
         config: Arc<Config>,
@@ -372,7 +388,7 @@
             .retain(|name| config.routes.iter().any(|r| r.name == *name));
         self.config = Some(config);
         self.forget_removed_servers();
-        out.push(Effect::Adopted(version));
+        out.push(Effect::ConfigApplied(version));
         self.announce_version(now, out);
         self.send_digests(now, out);
         self.drain_all(now, out);
@@ -387,13 +403,13 @@
         }
         if self.control.follow == Follow::Hub {
             let period = self.table.heartbeat_period();
-            let neighbours = self.table.neighbours(now);
+            let neighbours = self.table.domain_peers(now);
             self.send_heartbeat(now, period, neighbours, out);
         }
     }
 
     /// Applies a change of the registered backend servers.
-    pub(super) fn supplied(
+    pub(super) fn apply_fleet_change(
         &mut self,
         now: Time,
         change: Change,
@@ -401,20 +417,20 @@
         out: &mut Vec<Effect>,
     ) {
         match &change {
-            Change::List { .. } if !self.supplied => self.changes.begin(revision),
+            Change::List { .. } if !self.has_fleet_list => self.changes.reset(revision),
             Change::List { backends, .. } => {
-                self.changes.skip(self.revision, revision);
+                self.changes.record_gap(self.revision, revision);
                 let names = self.fleet.differences(backends).into_iter();
                 names.for_each(|name| self.changes.add(revision, name));
             }
             Change::Put(backend) => self.changes.add(revision, backend.name.clone()),
-            Change::Gone { name, .. } => self.changes.add(revision, name.clone()),
+            Change::Removed { name, .. } => self.changes.add(revision, name.clone()),
         }
-        self.supplied |= matches!(change, Change::List { .. });
+        self.has_fleet_list |= matches!(change, Change::List { .. });
         if self.fleet.apply(change, now) {
             self.forget_removed_servers();
         }
-        for name in self.fleet.take_reborn() {
+        for name in self.fleet.take_restarted() {
             self.forget_previous_instance(&name, out);
         }
         self.move_runs(now, out);
@@ -426,10 +442,10 @@
     /// there end on their own.
     fn forget_previous_instance(&mut self, name: &Backend, out: &mut Vec<Effect>) {
         if let Some(server) = self.servers.get_mut(name) {
-            server.start_again();
+            server.reset_after_restart();
         }
-        self.cache.forget(Short::of(name.as_str()));
-        out.push(Effect::Noted(Note::Reborn(name.clone())));
+        self.cache.forget(NameHash::of(name.as_str()));
+        out.push(Effect::Noted(Note::Restarted(name.clone())));
     }
 
     /// Drops what was learned about backend servers that no longer exist.
@@ -440,7 +456,12 @@
     }
 
     /// Replaces the set of failure domains that the store reports as evacuated.
-    pub(super) fn evacuate(&mut self, now: Time, domains: BTreeSet<Domain>, out: &mut Vec<Effect>) {
+    pub(super) fn set_evacuated(
+        &mut self,
+        now: Time,
+        domains: BTreeSet<Domain>,
+        out: &mut Vec<Effect>,
+    ) {
         self.control.evacuations.set_reported(domains);
         self.apply_evacuations(now, out);
     }
@@ -456,13 +477,13 @@
         };
         let domains = self.control.evacuations.effective(now);
         for domain in self.evacuated.difference(&domains) {
-            self.fleet.chill(domain, span, now);
+            self.fleet.mark_cold(domain, span, now);
         }
         self.evacuated = domains;
         self.drain_all(now, out);
     }
 
-    pub(super) fn unreadable(&mut self, version: Version, out: &mut Vec<Effect>) {
+    pub(super) fn reject_config(&mut self, version: Version, out: &mut Vec<Effect>) {
         if version <= self.version() {
             return;
         }
--- a/src/reducer/demand.rs
+++ b/src/reducer/demand.rs
@@ -11,7 +11,7 @@
     policy::Policy,
     reducer::State,
     unit::{Millis, Time},
-    wire::{Short, Used},
+    wire::{NameHash, Used},
 };
 
 /// Time after its last request for which a route counts as used: active callers return within it,
@@ -26,14 +26,14 @@
     /// Requests that came from callers to this box.
     seen: HashMap<id::Service, u64>,
     /// When a route was last used, at this box or elsewhere.
-    used: HashMap<Short, Time>,
+    used: HashMap<NameHash, Time>,
 }
 
 impl Demand {
     /// Records a request of `route` that came from a caller.
     pub(super) fn note(&mut self, route: &id::Service, now: Time) {
         *self.seen.entry(route.clone()).or_default() += 1;
-        self.used.insert(Short::of(route.as_str()), now);
+        self.used.insert(NameHash::of(route.as_str()), now);
     }
 
     /// Returns the number of requests of `route` that came from callers to this box.
@@ -43,7 +43,7 @@
 
     /// Reports whether callers use `route`, as far as this box knows.
     pub(super) fn is_used(&self, route: &Route, now: Time) -> bool {
-        let last = self.used.get(&Short::of(route.name.as_str()));
+        let last = self.used.get(&NameHash::of(route.name.as_str()));
         last.is_some_and(|at| now.since(*at) < USE_LIFETIME)
     }
 
@@ -75,7 +75,7 @@
         let routes = routes.filter(|r| hosts.contains(&r.host.as_deref()));
         let mut rows: Vec<Used> = routes
             .filter_map(|route| {
-                let route = Short::of(route.name.as_str());
+                let route = NameHash::of(route.name.as_str());
                 let age = now.since(*self.demand.used.get(&route)?);
                 (age < USE_LIFETIME).then_some(Used { route, age })
             })
--- a/src/reducer/departure.rs
+++ b/src/reducer/departure.rs
@@ -13,7 +13,7 @@
         effect::{Effect, Note},
     },
     unit::Time,
-    wire::{Body, Departure, Short},
+    wire::{Body, Departure, NameHash},
 };
 
 /// Maximum number of servers in one message, the most recent announcements first: 13 bytes each.
@@ -21,17 +21,17 @@
 
 impl<P: Policy> State<P> {
     /// Records that a backend server announced in an answer that it is leaving.
-    pub(super) fn hear_departure(
+    pub(super) fn record_departure(
         &mut self,
         now: Time,
         name: &id::Backend,
         incarnation: Option<Incarnation>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.fleet.depart(name, incarnation, now, now) {
+        if !self.fleet.record_departure(name, incarnation, now, now) {
             return;
         }
-        self.control.departures_untold = true;
+        self.control.departures_unsent = true;
         out.push(Effect::Noted(Note::Departing {
             backend: name.clone(),
             teller: None,
@@ -39,7 +39,7 @@
     }
 
     /// Applies the departures received from another box of the region.
-    pub(super) fn learn_departures(
+    pub(super) fn receive_departures(
         &mut self,
         now: Time,
         from: &BoxName,
@@ -47,13 +47,13 @@
         out: &mut Vec<Effect>,
     ) {
         for departure in departures.iter().take(MAX_DEPARTURES_PER_MESSAGE) {
-            let Some(backend) = self.named_here(departure.backend, departure.life) else {
+            let Some(backend) = self.find_local_backend(departure.backend, departure.life) else {
                 continue;
             };
             let (name, incarnation) = (backend.name.clone(), backend.incarnation);
             if self
                 .fleet
-                .depart(&name, incarnation, now - departure.age, now)
+                .record_departure(&name, incarnation, now - departure.age, now)
             {
                 out.push(Effect::Noted(Note::Departing {
                     backend: name,
@@ -66,10 +66,10 @@
     /// Returns the departures to send with each heartbeat: a box that started, resumed or was cut
     /// off learns them from the first one.
     pub(super) fn known_departures(&self, now: Time) -> Vec<Departure> {
-        let here = |(backend, _): &(&_, Time)| self.is_here(backend);
+        let here = |(backend, _): &(&_, Time)| self.is_local(backend);
         let rows = self.fleet.departing().filter(here);
         let rows = rows.map(|(backend, at)| Departure {
-            backend: Short::of(backend.name.as_str()),
+            backend: NameHash::of(backend.name.as_str()),
             life: backend.life(),
             age: now.since(at),
         });
@@ -81,8 +81,8 @@
 
     /// Sends the known departures to the boxes of the region at once if any were learned since the
     /// last time.
-    pub(super) fn tell_departures(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if !std::mem::take(&mut self.control.departures_untold) {
+    pub(super) fn send_departures(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if !std::mem::take(&mut self.control.departures_unsent) {
             return;
         }
         let known = self.known_departures(now);
--- a/src/reducer/detect.rs
+++ b/src/reducer/detect.rs
@@ -12,8 +12,8 @@
     reducer::{
         State, TICK,
         effect::{Effect, Note},
-        event::Sign,
-        job::{Spot, Stage},
+        event::Activity,
+        job::{Assignment, Stage},
     },
     unit::Time,
 };
@@ -28,14 +28,19 @@
 
 impl<P: Policy> State<P> {
     /// Records which backend servers' streams delivered data since the last report.
-    pub(super) fn hear_signs(&mut self, now: Time, signs: Vec<Sign>, out: &mut Vec<Effect>) {
+    pub(super) fn record_activity(
+        &mut self,
+        now: Time,
+        signs: Vec<Activity>,
+        out: &mut Vec<Effect>,
+    ) {
         for sign in signs {
             let Some(name) = self.fleet.long(sign.backend) else {
                 continue;
             };
             let server = self.servers.get_mut(name);
-            if server.is_some_and(|s| s.hear_stream(sign.pause, now)) {
-                out.push(Effect::Noted(Note::Regained(name.clone())));
+            if server.is_some_and(|s| s.record_stream_data(sign.pause, now)) {
+                out.push(Effect::Noted(Note::Recovered(name.clone())));
             }
         }
     }
@@ -47,7 +52,7 @@
         let mut failed = Vec::new();
         for (name, server) in &mut self.servers {
             let streams = loads_by_backend.get(name).map_or(0, |load| load.streams);
-            if server.miss_stream(TICK, streams, now) {
+            if server.record_stream_silence(TICK, streams, now) {
                 out.push(Effect::Noted(Note::Failed(name.clone())));
                 let address = self.fleet.get(name).map(|backend| backend.address);
                 out.extend(address.map(Effect::CloseIdle));
@@ -73,7 +78,7 @@
         for (request, job) in &self.jobs {
             let Stage::Sent {
                 attempt,
-                spot: Spot::Chosen(Place::Backend(name), _),
+                spot: Assignment::Chosen(Place::Backend(name), _),
                 begun,
                 ..
             } = &job.stage
--- a/src/reducer/digest.rs
+++ b/src/reducer/digest.rs
@@ -10,7 +10,7 @@
     settings::Seed,
     size::Room,
     unit::{Millis, Time},
-    wire::{Body, Capacity, Contact, Digest, Door, Frame, Phase, Short},
+    wire::{Body, Capacity, Contact, Digest, Endpoint, Frame, NameHash, Phase},
 };
 
 /// Boxes that a digest lists as entry points of its region.
@@ -65,7 +65,7 @@
     /// and a seed reaches a region whose boxes were all replaced.
     fn digest_target(&self, now: Time, region: &Region) -> Option<SocketAddr> {
         let remote = self.table.region(region);
-        let doors = remote.map_or(&[][..], |r| &r.digest.doors);
+        let doors = remote.map_or(&[][..], |r| &r.digest.endpoints);
         let is_neighbour = |s: &Seed| {
             self.table
                 .peers()
@@ -75,7 +75,7 @@
             Some(seeded) => seeded == region,
             None => s.gossip != self.table.me.gossip && !is_neighbour(s),
         });
-        let live = remote.is_some_and(|r| now.since(r.heard) <= self.table.region_suspect());
+        let live = remote.is_some_and(|r| now.since(r.received_at) <= self.table.region_timeout());
         let mut targets: Vec<SocketAddr> = doors.iter().map(|d| d.contact.gossip).collect();
         if !live || targets.is_empty() {
             targets.extend(seeds.map(|s| s.gossip));
@@ -85,11 +85,11 @@
     }
 
     pub(super) fn summary(&self, now: Time) -> Digest {
-        let usual = self.table.usual_weight(now);
+        let usual = self.table.median_weight(now);
         let sort_key =
             |busy: u32, room: Room| (room.full, load(busy, room.weight.unwrap_or(usual)));
         let me = (self.phase(now) == Phase::Ready).then(|| {
-            let door = Door {
+            let door = Endpoint {
                 contact: self.table.me.clone(),
                 incarnation: self.table.incarnation,
                 uptime: now,
@@ -97,14 +97,14 @@
             (sort_key(self.jobs.len() as u32, self.table.room), door)
         });
         let others = self.table.ready(now).map(|peer| {
-            let door = Door {
+            let door = Endpoint {
                 contact: peer.last.contact.clone(),
                 incarnation: peer.incarnation,
                 uptime: peer.uptime(now),
             };
             (sort_key(peer.last.busy, peer.last.room), door)
         });
-        let mut doors: Vec<((bool, u64), Door)> = me.into_iter().chain(others).collect();
+        let mut doors: Vec<((bool, u64), Endpoint)> = me.into_iter().chain(others).collect();
         doors.sort_by(|a, b| (a.0, &a.1.contact.name).cmp(&(b.0, &b.1.contact.name)));
         let local = self.table.live(now).map(|p| p.last.version);
         Digest {
@@ -114,11 +114,11 @@
             absences: self.absences(now),
             used: self.used_routes(now),
             stopping: doors.is_empty() && self.phase(now) == Phase::Leaving,
-            doors: doors.into_iter().map(|(_, d)| d).take(MAX_DOORS).collect(),
+            endpoints: doors.into_iter().map(|(_, d)| d).take(MAX_DOORS).collect(),
             services: self.capacities(now),
-            held: self.quarantine.told(now),
-            uses: self.table.uses(self.accounts.told(now), now),
-            trials: self.table.trials(self.rollouts.told(now), now),
+            held: self.quarantine.to_report(now),
+            uses: self.table.uses(self.accounts.to_report(now), now),
+            trials: self.table.trials(self.rollouts.observed_trials(now), now),
             cover: self.table.cover(now),
             boxes: self.table.live(now).count() as u32 + 1,
             spread: true,
@@ -129,7 +129,7 @@
         let services: BTreeSet<_> = self.fleet.services().collect();
         let capacity = |service| {
             let mut total = Capacity {
-                service: Short::of(crate::id::Service::as_str(service)),
+                service: NameHash::of(crate::id::Service::as_str(service)),
                 slots: 0,
                 busy: 0,
                 first: Millis(0),
@@ -137,14 +137,14 @@
             };
             let mut servers = 0;
             for backend in self.fleet.serving(service, &self.table.me.region) {
-                let down = self.table.is_down(Short::of(backend.name.as_str()), now);
+                let down = self.table.is_down(NameHash::of(backend.name.as_str()), now);
                 let trial = self.rollouts.is_on_trial(service, backend, now);
                 if down || trial || self.excluded(now, backend).is_some() {
                     continue;
                 }
                 let server = self.servers.get(&backend.name).cloned().unwrap_or_default();
                 let slots = server.slots(backend.slots, now);
-                let busy = server.busy + self.table.busy(Short::of(backend.name.as_str()), now);
+                let busy = server.busy + self.table.busy(NameHash::of(backend.name.as_str()), now);
                 // Slots beyond what a request limit or the rate for cold servers allows are not
                 // offered to other regions.
                 let limited = server.limit.slots(slots, server.whole());
@@ -176,7 +176,7 @@
         out: &mut Vec<Effect>,
     ) {
         let remote = self.table.region(&sender.region);
-        let doors = remote.map_or(&[][..], |r| &r.digest.doors);
+        let doors = remote.map_or(&[][..], |r| &r.digest.endpoints);
         let contacts: Vec<Contact> = doors.iter().map(|d| d.contact.clone()).collect();
         let to = sender.gossip;
         let frame = self.frame(Body::Members(contacts));
@@ -190,10 +190,10 @@
 
     /// Returns the gossip addresses of all boxes of this region, and of one box of each other
     /// region. The flag marks the latter, which forwards the message within its region.
-    pub(super) fn everyone(&self, now: Time) -> Vec<(SocketAddr, bool)> {
+    pub(super) fn broadcast_targets(&self, now: Time) -> Vec<(SocketAddr, bool)> {
         let local = self.table.live(now).map(|p| p.last.contact.gossip);
         let remote_doors = self.table.reachable(now).filter_map(|(_, remote)| {
-            let doors = &remote.digest.doors;
+            let doors = &remote.digest.endpoints;
             let turn = (self.attempts as usize).checked_rem(doors.len())?;
             Some(doors[turn].contact.gossip)
         });
@@ -213,12 +213,12 @@
             spread: false,
             ..digest.clone()
         });
-        self.pass_on(now, frame, body, out);
+        self.forward(now, frame, body, out);
     }
 
     /// Sends `body` to the boxes of this region in place of that of `frame`, with the sender and
     /// sequence number of `frame`.
-    pub(super) fn pass_on(&self, now: Time, frame: &Frame, body: Body, out: &mut Vec<Effect>) {
+    pub(super) fn forward(&self, now: Time, frame: &Frame, body: Body, out: &mut Vec<Effect>) {
         let copy = Frame {
             body,
             ..frame.clone()
--- a/src/reducer/dispatch.rs
+++ b/src/reducer/dispatch.rs
@@ -5,9 +5,9 @@
     policy::{Choice, Place, Policy},
     reducer::{
         State,
-        admit::refusal,
+        admit::refusal_reply,
         effect::{Basis, Effect, Reply, Send, Target},
-        job::{Job, SOON, Spot, Stage},
+        job::{Assignment, DEFAULT_RETRY_AFTER, Job, Stage},
         supply::Supply,
     },
     unit::{Millis, Time},
@@ -17,18 +17,23 @@
 
 impl<P: Policy> State<P> {
     /// Tries to place a request. Returns false if it has to wait.
-    pub(super) fn place(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) -> bool {
+    pub(super) fn try_place(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        out: &mut Vec<Effect>,
+    ) -> bool {
         if self.phase(now) == Phase::Unready {
             return false;
         }
         let Some(job) = self.jobs.get(&request) else {
             return true;
         };
-        if let Some(reply) = self.withheld(now, job) {
+        if let Some(reply) = self.quarantine_refusal(now, job) {
             self.finish(request, reply, out);
             return true;
         }
-        if self.awaits_word(now, job) {
+        if self.awaits_probe(now, job) {
             return false;
         }
         let verdict = job.verdict();
@@ -37,7 +42,7 @@
             Err(reason) => {
                 let reply = Reply {
                     verdict,
-                    ..refusal(reason)
+                    ..refusal_reply(reason)
                 };
                 self.finish(request, reply, out);
                 return true;
@@ -55,7 +60,8 @@
             }
             Choice::Refuse(wait) if self.is_limited(now, job) => {
                 let reason = "what backend servers say that they take is used up";
-                let reply = Reply::new(503, verdict, reason).after(job.retry_after_turn(wait));
+                let reply =
+                    Reply::new(503, verdict, reason).with_retry_after(job.retry_after_turn(wait));
                 let limited = true;
                 self.finish(request, Reply { limited, ..reply }, out);
             }
@@ -67,7 +73,8 @@
                     return false;
                 }
                 let reason = "the backend servers asked for a pause";
-                let reply = Reply::new(503, verdict, reason).after(job.retry_after_at_least(wait));
+                let reply = Reply::new(503, verdict, reason)
+                    .with_retry_after(job.retry_after_at_least(wait));
                 self.finish(request, reply, out);
             }
             Choice::Refuse(_) if decision.candidates.is_empty() && job.may_linger(now) => {
@@ -79,7 +86,8 @@
                 } else {
                     "no allowed place can begin the answer in time"
                 };
-                let reply = Reply::new(503, verdict, reason).after(job.retry_after(wait));
+                let reply =
+                    Reply::new(503, verdict, reason).with_retry_after(job.retry_after(wait));
                 self.finish(request, reply, out);
             }
         }
@@ -101,7 +109,8 @@
                 .jobs
                 .get(&request)
                 .map_or(Verdict::NotRun, Job::verdict);
-            let reply = Reply::new(503, verdict, "the place is gone").after(SOON);
+            let reply =
+                Reply::new(503, verdict, "the place is gone").with_retry_after(DEFAULT_RETRY_AFTER);
             return self.finish(request, reply, out);
         };
         let Some(job) = self.jobs.get(&request) else {
@@ -135,7 +144,7 @@
         job.tried.push(place.clone());
         job.stage = Stage::Sent {
             attempt,
-            spot: Spot::Chosen(place, relay_box),
+            spot: Assignment::Chosen(place, relay_box),
             at: now,
             work,
             expected,
@@ -160,7 +169,7 @@
             continues,
             priority: job.priority,
             runs: match relayed {
-                true => job.lent(),
+                true => job.runs_for_region(),
                 false => job.runs,
             },
             record: job.owns_key,
@@ -168,7 +177,7 @@
             not_after: job.deadline,
             basis,
         }));
-        self.watch_stall(now, request, attempt);
+        self.schedule_stall_check(now, request, attempt);
         if let Some(reading) = reading {
             self.note_reading(now, reading, out);
         }
@@ -189,7 +198,7 @@
                 expected
             }
             Place::Region(region) => {
-                self.table.relayed(region);
+                self.table.record_relay(region);
                 self.remote_first_token(now, service, region)
             }
         }
@@ -208,7 +217,7 @@
                 Some((target, None))
             }
             Place::Region(region) => {
-                let door = self.table.door(region, self.attempts)?;
+                let door = self.table.relay_endpoint(region, self.attempts)?;
                 let target = Target::Relay {
                     region: region.clone(),
                     peer: door.contact.peer,
--- a/src/reducer/effect.rs
+++ b/src/reducer/effect.rs
@@ -1,6 +1,6 @@
 //! Outputs of the reducer.
 
-mod carry;
+mod moving;
 mod note;
 
 use std::{fmt, net::SocketAddr, sync::Arc};
@@ -10,7 +10,7 @@
     content::Fingerprint,
     fleet::Revision,
     id::{self, Incarnation, Region, Service},
-    memory::moved::Origin,
+    memory::transfer::Origin,
     quarantine::{self, Held},
     retry,
     rollout::{Order, Standing},
@@ -19,7 +19,7 @@
     wire::{Contact, Frame},
 };
 
-pub use carry::{Carried, End, Move, Site};
+pub use moving::{Move, MoveOutcome, MoveReport, Site};
 pub use note::{Alarm, Note, Step};
 
 /// Target of an attempt.
@@ -198,7 +198,7 @@
     }
 
     /// Sets the time after which the caller should retry.
-    pub fn after(self, wait: Millis) -> Self {
+    pub fn with_retry_after(self, wait: Millis) -> Self {
         Self {
             retry_after: Some(wait),
             ..self
@@ -221,7 +221,7 @@
 
 /// A look-up for which no box of the caller's region was available.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Detour {
+pub struct Fallback {
     /// The caller's region.
     pub region: Region,
     /// The host that was looked up.
@@ -237,19 +237,19 @@
 pub enum Follow {
     /// For itself only.
     #[default]
-    Alone,
+    Direct,
     /// As a hub, for the boxes of its failure domain.
     Hub,
     /// Not at all; hubs forward the changes.
-    Rest,
+    Forwarded,
 }
 
 impl fmt::Display for Follow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Alone => "alone",
+            Self::Direct => "alone",
             Self::Hub => "hub",
-            Self::Rest => "rest",
+            Self::Forwarded => "rest",
         })
     }
 }
@@ -302,7 +302,7 @@
     },
     /// Detach the stream of an attempt from its target; the next `Send` for the request resumes it
     /// elsewhere.
-    Leave {
+    DetachStream {
         /// The request.
         request: id::Request,
         /// The attempt.
@@ -311,16 +311,16 @@
     /// Copy the memory of a run to another engine.
     Move(Move),
     /// Release the copy of a run's memory at both engines.
-    Free(Origin),
+    FreeCopy(Origin),
     /// End an answer as complete after its connection closed while its run was being stopped.
-    Close {
+    CompleteStream {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: id::Attempt,
     },
     /// Record the result of moving a run.
-    Carried(Carried),
+    MoveEnded(MoveReport),
     /// Record the decision on an attempt beyond the first.
     Repeat(Repeat),
     /// Record that the connection of an attempt to its backend server broke.
@@ -337,7 +337,7 @@
         begun: Option<Millis>,
     },
     /// Probe whether anything listens at a backend server's port.
-    Knock {
+    Probe {
         /// The backend server.
         backend: id::Backend,
         /// Address of the backend server.
@@ -345,14 +345,14 @@
     },
     /// Record in the platform's store that a content is held back, for boxes that start after all
     /// others have stopped.
-    Keep(Held),
+    StoreHeld(Held),
     /// Remove that record from the platform's store.
-    Discard(Fingerprint),
+    RemoveHeld(Fingerprint),
     /// Record a change in the evidence against a content that may crash backend servers.
     Quarantine(quarantine::Step),
     /// Write the state of a roll-out to the platform's store, unless its final state is already
     /// recorded.
-    Settle {
+    WriteRollout {
         /// The service.
         service: Service,
         /// The order that the state belongs to.
@@ -379,7 +379,7 @@
         answer: id::Request,
     },
     /// Delete a stored answer.
-    Forget(id::Request),
+    DeleteAnswer(id::Request),
     /// Answer a caller that asked which boxes to use.
     Boxes {
         /// The query or look-up.
@@ -387,7 +387,7 @@
         /// The boxes, best first.
         boxes: Vec<Entry>,
         /// Details, if no box of the caller's region was available.
-        detour: Option<Detour>,
+        detour: Option<Fallback>,
     },
     /// Send a message to another box.
     Gossip {
@@ -406,7 +406,7 @@
     /// Start (`true`) or stop (`false`) watching the store.
     Watch(bool),
     /// Record that the configuration with this version is in force.
-    Adopted(Version),
+    ConfigApplied(Version),
     /// Raise an alarm for the operators.
     Alarm(Alarm),
     /// Record a change in this box's view of the system.
--- a/src/reducer/effect/carry.rs
+++ b/src/reducer/effect/moving.rs
@@ -34,30 +34,30 @@
 
 /// Result of moving a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MoveOutcome {
     /// The run continues at the other engine.
-    There,
+    Moved,
     /// The run was stopped and continues at its original engine.
-    Back,
+    Returned,
     /// Nothing was moved, for lack of room, of a link or of an answer. The run was not stopped.
     Refused,
     /// The run ended by itself before it was stopped.
     Ended,
     /// The request ended first: its caller disconnected or its deadline passed.
-    Left,
+    Abandoned,
     /// The run was lost during the move, or it is unknown whether it was stopped.
     Lost,
 }
 
-impl End {
+impl MoveOutcome {
     /// Returns the name used in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::There => "there",
-            Self::Back => "back",
+            Self::Moved => "there",
+            Self::Returned => "back",
             Self::Refused => "refused",
             Self::Ended => "ended",
-            Self::Left => "left",
+            Self::Abandoned => "left",
             Self::Lost => "lost",
         }
     }
@@ -65,7 +65,7 @@
 
 /// Outcome of an attempt to move a run, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct MoveReport {
     /// The request.
     pub request: id::Request,
     /// The engine that ran the request.
@@ -73,7 +73,7 @@
     /// The engine that was to continue the run.
     pub to: id::Backend,
     /// Result of the move.
-    pub end: End,
+    pub end: MoveOutcome,
     /// Time from the decision to move until the result was known.
     pub took: Millis,
     /// Number of calls made.
@@ -82,7 +82,7 @@
     pub tokens: u32,
 }
 
-impl fmt::Display for Carried {
+impl fmt::Display for MoveReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/src/reducer/effect/note.rs
+++ b/src/reducer/effect/note.rs
@@ -21,7 +21,7 @@
     /// A configuration failed validation; the previous one stays in force.
     Unreadable(Version),
     /// The process did not run for this long.
-    Frozen(Millis),
+    Suspended(Millis),
 }
 
 impl fmt::Display for Alarm {
@@ -30,7 +30,7 @@
             Self::Older(v) => write!(f, "an older configuration {v} was offered and refused"),
             Self::Conflict(v) => write!(f, "two configurations are numbered {v}; the first stays"),
             Self::Unreadable(v) => write!(f, "configuration {v} does not check; the old one stays"),
-            Self::Frozen(span) => write!(f, "the process stood still for {span}"),
+            Self::Suspended(span) => write!(f, "the process stood still for {span}"),
         }
     }
 }
@@ -39,19 +39,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
     /// A box of this region became reachable.
-    Heard(id::BoxName),
+    BoxReachable(id::BoxName),
     /// A box of this region has been silent for too long.
-    Lost(id::BoxName),
+    BoxSilent(id::BoxName),
     /// Another region became reachable.
-    Reached(Region),
+    RegionReachable(Region),
     /// Another region has been silent for too long.
-    Unreached(Region),
+    RegionSilent(Region),
     /// The streams of a backend server have been silent for too long.
     Failed(id::Backend),
     /// A backend server that was considered failed sends data again.
-    Regained(id::Backend),
+    Recovered(id::Backend),
     /// A backend server restarted under the same name.
-    Reborn(id::Backend),
+    Restarted(id::Backend),
     /// A backend server named a new limit on the requests per second from all boxes, or no longer
     /// names one.
     Limited {
@@ -79,9 +79,9 @@
         span: Option<Millis>,
     },
     /// The platform's store was restored from a copy.
-    Era(Era),
+    StoreRestored(Era),
     /// The platform's store reported a revision older than the known one, and it was dropped.
-    OldNews {
+    OutdatedUpdate {
         /// Reported revision.
         revision: Revision,
         /// Known revision.
@@ -108,18 +108,18 @@
     },
     /// This box reaches neither the store nor any other box, and treats all servers as cold until
     /// it does.
-    Alone,
+    Isolated,
     /// This box reaches the store or another box again.
-    Accompanied,
+    Reconnected,
 }
 
 impl fmt::Display for Note {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Heard(name) => write!(f, "box={name} state=heard"),
-            Self::Lost(name) => write!(f, "box={name} state=silent"),
-            Self::Reached(region) => write!(f, "region={region} state=heard"),
-            Self::Unreached(region) => write!(f, "region={region} state=silent"),
+            Self::BoxReachable(name) => write!(f, "box={name} state=heard"),
+            Self::BoxSilent(name) => write!(f, "box={name} state=silent"),
+            Self::RegionReachable(region) => write!(f, "region={region} state=heard"),
+            Self::RegionSilent(region) => write!(f, "region={region} state=silent"),
             Self::Resized { old, weight } => {
                 let (old, weight) = (format_weight(*old), format_weight(*weight));
                 write!(f, "box=self weight={weight} before={old}")
@@ -138,8 +138,8 @@
                 )
             }
             Self::Failed(name) => write!(f, "backend={name} state=silent"),
-            Self::Regained(name) => write!(f, "backend={name} state=heard"),
-            Self::Reborn(name) => write!(f, "backend={name} state=started-again"),
+            Self::Recovered(name) => write!(f, "backend={name} state=heard"),
+            Self::Restarted(name) => write!(f, "backend={name} state=started-again"),
             Self::Limited {
                 backend,
                 rate,
@@ -161,12 +161,12 @@
                 Some(span) => write!(f, "backend={backend} pushback={span}"),
                 None => write!(f, "backend={backend} pushback=unreadable"),
             },
-            Self::Era(era) => write!(f, "store era={era} restored=copy"),
-            Self::OldNews { revision, known } => {
+            Self::StoreRestored(era) => write!(f, "store era={era} restored=copy"),
+            Self::OutdatedUpdate { revision, known } => {
                 write!(f, "store news={revision} known={known} dropped=older")
             }
-            Self::Alone => f.write_str("all state=silent store=silent cold=assumed"),
-            Self::Accompanied => f.write_str("all state=heard"),
+            Self::Isolated => f.write_str("all state=silent store=silent cold=assumed"),
+            Self::Reconnected => f.write_str("all state=heard"),
         }
     }
 }
--- a/src/reducer/engine_news.rs
+++ b/src/reducer/engine_news.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     id::{self, Incarnation},
-    member::weight,
+    member::rendezvous_hash,
     memory::{
         cache,
-        news::{Change, Gone, News, Told, Word},
         prompt::Part,
+        report::{Change, Corrections, EngineCorrections, Eviction, Report},
     },
     policy::Policy,
     reducer::{
@@ -26,7 +26,7 @@
         inventory::{DISCOVERY_TIME, LISTEN_DELAY, MAX_EARLY_ENGINES, MAX_ENGINES},
     },
     unit::{Millis, Time},
-    wire::{Body, Holding, Phase, Short},
+    wire::{Body, Holding, NameHash, Phase},
 };
 
 /// Time between two selections of the engines to follow.
@@ -71,7 +71,7 @@
 struct Followed {
     address: SocketAddr,
     incarnation: Option<Incarnation>,
-    life: Short,
+    life: NameHash,
     /// When the last report arrived; `None` if reports were missed since.
     last_report: Option<Time>,
     /// The long parts that it keeps.
@@ -88,13 +88,13 @@
 /// What a box has learned directly from the engines that it follows, and the corrections that it
 /// still has to send.
 #[derive(Debug, Default)]
-pub(super) struct Desk {
+pub(super) struct Tracker {
     followed: BTreeMap<id::Backend, Followed>,
     /// Engines not yet examined in this round.
     unexamined: Vec<id::Backend>,
-    corrections: BTreeMap<(Short, u64), Correction>,
+    corrections: BTreeMap<(NameHash, u64), Correction>,
     /// Key of the last correction that was sent.
-    last_sent_key: Option<(Short, u64)>,
+    last_sent_key: Option<(NameHash, u64)>,
     last_selection: Option<Time>,
     last_comparison: Option<Time>,
     last_sent: Option<Time>,
@@ -103,8 +103,8 @@
     allowance_updated: Option<Time>,
 }
 
-impl Desk {
-    fn correct(&mut self, backend: Short, part: u64, kept: bool, at: Time) {
+impl Tracker {
+    fn correct(&mut self, backend: NameHash, part: u64, kept: bool, at: Time) {
         let known = self.corrections.contains_key(&(backend, part));
         if known || self.corrections.len() < MAX_PENDING {
             let correction = Correction { kept, at };
@@ -125,7 +125,7 @@
 
     /// Removes the next correction in turn, so that no engine is starved while the bytes do not
     /// suffice for all.
-    fn next_correction(&mut self) -> Option<((Short, u64), Correction)> {
+    fn next_correction(&mut self) -> Option<((NameHash, u64), Correction)> {
         let later = self
             .last_sent_key
             .and_then(|key| self.corrections.range(key..).next());
@@ -136,15 +136,15 @@
     }
 
     /// Builds the reports on the engines heard recently, with up to `rows` corrections.
-    fn reports(&mut self, rows: usize, now: Time) -> Vec<Word> {
+    fn reports(&mut self, rows: usize, now: Time) -> Vec<EngineCorrections> {
         let fresh = |f: &Followed| {
             f.last_report
                 .is_some_and(|at| now.since(at) < ENGINE_TIMEOUT)
         };
         let mut reports = BTreeMap::new();
         for (name, engine) in self.followed.iter().filter(|(_, f)| fresh(f)) {
-            let backend = Short::of(name.as_str());
-            let report = Word {
+            let backend = NameHash::of(name.as_str());
+            let report = EngineCorrections {
                 backend,
                 life: engine.life,
                 kept: Vec::new(),
@@ -163,7 +163,7 @@
                 report.kept.push(part);
             } else {
                 let age = now.since(correction.at);
-                report.gone.push(Gone { part, age });
+                report.gone.push(Eviction { part, age });
             }
         }
         reports.into_values().collect()
@@ -173,7 +173,7 @@
 impl<P: Policy> State<P> {
     /// Chooses the engines that this box follows, and sends corrections to the other boxes.
     pub(super) fn update_followed_engines(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if !self.supplied || now.since(Time(0)) < LISTEN_DELAY {
+        if !self.has_fleet_list || now.since(Time(0)) < LISTEN_DELAY {
             return;
         }
         if Control::due(&mut self.engine_news.last_selection, SELECTION_PERIOD, now) {
@@ -200,7 +200,7 @@
 
     /// Returns the time since the last report of the followed engine that has been silent the
     /// longest.
-    pub fn engine_news_age(&self, now: Time) -> Millis {
+    pub fn engine_report_age(&self, now: Time) -> Millis {
         let followed = self.engine_news.followed.values();
         let ages = followed
             .filter_map(|f| f.last_report)
@@ -236,7 +236,7 @@
             let mut engines = profiles.filter_map(|profile| profile.engine);
             engines.any(|engine| engine.watchers > 0)
         });
-        let here = self.is_here(backend) && self.phase(now) != Phase::Leaving;
+        let here = self.is_local(backend) && self.phase(now) != Phase::Leaving;
         let serves = !backend.leaving && !self.fleet.is_cold(name, now);
         tells && here && serves && self.table.leads(name.as_str(), now)
     }
@@ -299,30 +299,30 @@
         let engines = reporting.flat_map(|(service, _)| self.fleet.serving(service, region));
         let mut names: Vec<id::Backend> = engines.map(|b| b.name.clone()).collect();
         if early {
-            names.sort_by_cached_key(|name| weight(&self.table.me.name, name.as_str()));
+            names.sort_by_cached_key(|name| rendezvous_hash(&self.table.me.name, name.as_str()));
         }
         names
     }
 
     /// Records what an engine reports of the parts that it keeps.
-    pub(super) fn take_engine_news(
+    pub(super) fn record_engine_report(
         &mut self,
         now: Time,
         name: &id::Backend,
         incarnation: Option<Incarnation>,
-        report: &News,
+        report: &Report,
     ) {
         let followed = self.engine_news.followed.get_mut(name);
         let Some(engine) = followed.filter(|f| f.incarnation == incarnation) else {
             return;
         };
-        let backend = Short::of(name.as_str());
+        let backend = NameHash::of(name.as_str());
         match report {
-            News::Gap => {
+            Report::Gap => {
                 engine.last_report = None;
-                return self.cache.distrust(backend);
+                return self.cache.invalidate_reports(backend);
             }
-            News::All(parts) => {
+            Report::All(parts) => {
                 engine.last_report = Some(now);
                 let all: HashSet<u64> = long_parts(parts).collect();
                 let gone: Vec<u64> = engine.held.difference(&all).copied().collect();
@@ -332,8 +332,8 @@
                     .for_each(|part| self.record_kept(name, part, now));
             }
             // The changes do not follow on a list of another instance or an earlier call.
-            News::Changes(_) if engine.last_report.is_none() => return,
-            News::Changes(changes) => {
+            Report::Changes(_) if engine.last_report.is_none() => return,
+            Report::Changes(changes) => {
                 engine.last_report = Some(now);
                 for change in changes {
                     match change {
@@ -346,15 +346,15 @@
                 }
             }
         }
-        self.cache.trust(backend, now + ENGINE_TIMEOUT);
+        self.cache.record_report_time(backend, now + ENGINE_TIMEOUT);
     }
 
     fn record_kept(&mut self, name: &id::Backend, part: u64, now: Time) {
-        let backend = Short::of(name.as_str());
+        let backend = NameHash::of(name.as_str());
         if let Some(engine) = self.engine_news.followed.get_mut(name) {
             engine.held.insert(part);
         }
-        if !self.cache.names(backend, part) {
+        if !self.cache.lists_copy(backend, part) {
             self.cache
                 .confirm(Holding { backend, part }, now - MAX_REPORT_DELAY);
             self.engine_news.correct(backend, part, true, now);
@@ -364,10 +364,10 @@
     }
 
     fn record_evicted(&mut self, name: &id::Backend, part: u64, now: Time) {
-        let backend = Short::of(name.as_str());
+        let backend = NameHash::of(name.as_str());
         let engine = self.engine_news.followed.get_mut(name);
         let held = engine.is_some_and(|engine| engine.held.remove(&part));
-        if held || self.cache.names(backend, part) {
+        if held || self.cache.lists_copy(backend, part) {
             self.cache.drop_part(backend, part, now - MAX_REPORT_DELAY);
             self.engine_news.correct(backend, part, false, now);
         }
@@ -378,10 +378,10 @@
     fn drop_unread(&mut self, now: Time) {
         let followed = self.engine_news.followed.iter();
         let reporting = followed.filter(|(_, f)| f.last_report.is_some());
-        let held: BTreeMap<Short, &HashSet<u64>> = reporting
-            .map(|(name, f)| (Short::of(name.as_str()), &f.held))
+        let held: BTreeMap<NameHash, &HashSet<u64>> = reporting
+            .map(|(name, f)| (NameHash::of(name.as_str()), &f.held))
             .collect();
-        let unread = |(part, backend, at): &(u64, Short, Time)| {
+        let unread = |(part, backend, at): &(u64, NameHash, Time)| {
             let kept = held.get(backend).is_none_or(|parts| parts.contains(part));
             !kept && now.since(*at) > READ_TIMEOUT
         };
@@ -431,15 +431,22 @@
         let interval =
             Millis((targets.len() * (fixed + ROW_BYTES) * 1000 / BYTES_PER_SECOND) as u64);
         let lasts = Millis(MAX_LOST_MESSAGES * interval.max(KEEPALIVE_PERIOD).0);
-        self.send_all(Body::Kept(Told { lasts, engines }), targets, out);
+        self.send_all(
+            Body::Corrections(Corrections {
+                valid_for: lasts,
+                engines,
+            }),
+            targets,
+            out,
+        );
     }
 
     /// Applies the corrections of another box of the region.
-    pub(super) fn receive_corrections(&mut self, now: Time, message: &Told) {
-        let until = now + message.lasts.min(MAX_VALIDITY);
+    pub(super) fn receive_corrections(&mut self, now: Time, message: &Corrections) {
+        let until = now + message.valid_for.min(MAX_VALIDITY);
         let mut rows = MAX_ROWS;
         for report in message.engines.iter().take(MAX_ENGINES) {
-            let Some(backend) = self.named_here(report.backend, report.life) else {
+            let Some(backend) = self.find_local_backend(report.backend, report.life) else {
                 continue;
             };
             let name = backend.name.clone();
@@ -465,7 +472,7 @@
                     .drop_part(report.backend, gone.part, now - gone.age - MAX_REPORT_DELAY);
             }
             rows = rows.saturating_sub(report.gone.len());
-            self.cache.trust(report.backend, until);
+            self.cache.record_report_time(report.backend, until);
         }
     }
 }
--- a/src/reducer/era.rs
+++ b/src/reducer/era.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    fleet::{Era, RESTORED},
+    fleet::{Era, RESTORE_GRACE},
     id::Domain,
     policy::Policy,
     reducer::{
@@ -57,19 +57,19 @@
 impl<P: Policy> State<P> {
     /// Handles the era of a store revision. A newer era means that the store was restored from a
     /// copy.
-    pub(super) fn notice_era(&mut self, now: Time, era: Era, out: &mut Vec<Effect>) {
+    pub(super) fn handle_era(&mut self, now: Time, era: Era, out: &mut Vec<Effect>) {
         if era <= self.control.era {
             return;
         }
         self.control.era = era;
-        if !self.supplied {
+        if !self.has_fleet_list {
             // This box has no state from before the restore.
             return;
         }
-        out.push(Effect::Noted(Note::Era(era)));
+        out.push(Effect::Noted(Note::StoreRestored(era)));
         self.control.restored = Some(now);
-        self.fleet.enter_era(now);
-        let until = now + RESTORED;
+        self.fleet.record_restore(now);
+        let until = now + RESTORE_GRACE;
         let evacuated = self.evacuated.iter().cloned();
         let retained = evacuated.map(|domain| (domain, until));
         self.control.evacuations.retained.extend(retained);
@@ -79,14 +79,14 @@
     /// Reports whether the store was restored so recently that it may still lack some writes.
     pub(super) fn is_restored(&self, now: Time) -> bool {
         let entered = self.control.restored;
-        entered.is_some_and(|at| now.since(at) < RESTORED)
+        entered.is_some_and(|at| now.since(at) < RESTORE_GRACE)
     }
 
     /// Writes the quarantined contents again, since the restored copy may lack them.
     fn rewrite_quarantine(&self, now: Time, out: &mut Vec<Effect>) {
         if self.registry && self.table.leads(REWRITE_DUTY, now) {
             let held = self.quarantine.all_held(now).into_iter();
-            out.extend(held.map(Effect::Keep));
+            out.extend(held.map(Effect::StoreHeld));
         }
     }
 
--- a/src/reducer/estimate.rs
+++ b/src/reducer/estimate.rs
@@ -5,10 +5,10 @@
     id::{Region, Service},
     memory::{Engine, cache, prompt::Prompt},
     policy::Policy,
-    reducer::{State, place::Wish, supply::Supply},
+    reducer::{State, place::Query, supply::Supply},
     server::Server,
     unit::{Millis, Time},
-    wire::{Capacity, Short},
+    wire::{Capacity, NameHash},
 };
 
 /// Weight of the time for which a running request is delayed while a prompt is computed, relative
@@ -144,7 +144,7 @@
         service: &Service,
         region: &Region,
     ) -> Millis {
-        let short = Short::of(service.as_str());
+        let short = NameHash::of(service.as_str());
         let hop = self
             .config
             .as_ref()
@@ -159,11 +159,11 @@
     /// region, without the round trip, and the cost to the requests that run there.
     pub(super) fn remote_prompt_cost(
         &self,
-        wish: &Wish<'_>,
+        wish: &Query<'_>,
         usable: &[&Backend],
         capacity: &Capacity,
     ) -> (Millis, Millis) {
-        let Wish { now, plan, job, .. } = *wish;
+        let Query { now, plan, job, .. } = *wish;
         let Some(prompt) = &job.prompt else {
             return (capacity.first, Millis(0));
         };
@@ -174,9 +174,9 @@
         let sources = region.and_then(|region| self.sources(now, &plan.service, region, job));
         let cost = |b: &&Backend| {
             let engine = self.servers.get(&b.name).unwrap_or(&fresh);
-            let short = Short::of(b.name.as_str());
+            let short = NameHash::of(b.name.as_str());
             let unread = self.cache.unread(prompt, short, memory, now);
-            let batch = Batch::at(engine, busy, plan.gap(), now);
+            let batch = Batch::at(engine, busy, plan.max_event_gap(), now);
             let supply = Supply::of(sources.as_ref(), b, unread, engine);
             let burden = burden(prompt, supply.read, engine, batch) + transfer_cost(&supply);
             let reading = engine.pending(now) + engine.reading(supply.read);
--- a/src/reducer/event.rs
+++ b/src/reducer/event.rs
@@ -9,16 +9,16 @@
     id::{self, Domain, Incarnation, Region, Service},
     limit,
     memory::{
-        moved::Moved,
-        news::News,
         prompt::{Part, Prompt},
+        report::Report,
+        transfer::Handover,
     },
     pin, pushback, retry,
     settings::Seed,
     size::Weight,
     unit::{Millis, Time},
     verdict::Verdict,
-    wire::{Frame, Short},
+    wire::{Frame, NameHash},
 };
 
 /// Credential that a request was sent with.
@@ -29,7 +29,7 @@
     /// The hash of an API key.
     Key(KeyHash),
     /// A customer whose API key another box has already checked.
-    Vouched(id::Customer),
+    Verified(id::Customer),
 }
 
 /// Path by which a request reached this box.
@@ -126,7 +126,7 @@
     Store,
     /// A recent notification from the store, which may be older than the configuration in force
     /// without raising an alarm.
-    News,
+    Watch,
     /// Another box.
     Peer,
 }
@@ -144,9 +144,9 @@
 
 /// Stream activity of a backend server since the previous report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sign {
+pub struct Activity {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Longest pause of any of its streams that ended since the previous report.
     pub pause: Millis,
 }
@@ -157,7 +157,7 @@
     /// The tick timer fired.
     Tick,
     /// Streams of these backend servers received data.
-    Alive(Vec<Sign>),
+    StreamsActive(Vec<Activity>),
     /// A request arrived.
     Arrived(Arrival),
     /// A caller asks which boxes to use.
@@ -168,13 +168,13 @@
         credential: Credential,
     },
     /// The sender of a request disconnected.
-    Gone(id::Request),
+    Disconnected(id::Request),
     /// A backend server answered, and the answer named a limit or the server is known to have one.
     Limited {
         /// The backend server.
         backend: id::Backend,
         /// Limit named in the answer.
-        word: limit::Word,
+        word: limit::Announcement,
         /// When the answered request was sent.
         sent: Time,
     },
@@ -193,7 +193,7 @@
         /// Incarnation that the request was sent to, if known.
         incarnation: Option<Incarnation>,
         /// Pushback named in the answer.
-        word: pushback::Word,
+        word: pushback::Pushback,
     },
     /// The first byte of an answer is being sent to the caller.
     Begun {
@@ -214,7 +214,7 @@
         timing: Timing,
     },
     /// A stream that had begun was cut and may be resumed elsewhere.
-    Broke {
+    StreamCut {
         /// The request.
         request: id::Request,
         /// The attempt that produced the stream.
@@ -237,7 +237,7 @@
         /// Address of the engine.
         from: SocketAddr,
         /// Result of the call.
-        result: Moved,
+        result: Handover,
     },
     /// An attempt produced no answer.
     Failed {
@@ -251,7 +251,7 @@
         cause: Cause,
     },
     /// A message from another box arrived.
-    Heard(Frame),
+    Received(Frame),
     /// A configuration was read and validated.
     Offered {
         /// The configuration.
@@ -260,7 +260,7 @@
         source: Source,
     },
     /// A configuration with this version was read and failed validation.
-    Unreadable(Version),
+    InvalidConfig(Version),
     /// The platform's list marks these addresses as leaving.
     Listed(BTreeSet<SocketAddr>),
     /// Another box sent its list of the backend servers that register with the platform.
@@ -273,20 +273,20 @@
         revision: Revision,
     },
     /// A model engine reported which parts of prompts it has cached.
-    Cached {
+    Inventory {
         /// The model engine.
         backend: id::Backend,
         /// The cached parts.
         parts: Vec<Part>,
     },
     /// A model engine that this box follows reported changes of its prompt cache.
-    EngineNews {
+    EngineReport {
         /// The model engine.
         backend: id::Backend,
         /// Incarnation that was followed.
         incarnation: Option<Incarnation>,
         /// The reported changes.
-        news: News,
+        news: Report,
     },
     /// The platform's store answered, and all its changes up to this revision have been delivered.
     Synced(Revision),
@@ -314,14 +314,14 @@
         host: Option<String>,
     },
     /// A backend server's port was probed after an attempt broke there.
-    Knocked {
+    Probed {
         /// The backend server.
         backend: id::Backend,
         /// Whether the port is closed, which means that the process behind it has ended.
         closed: bool,
     },
     /// The platform's store records that a content is held back.
-    Kept(Fingerprint),
+    HeldBack(Fingerprint),
     /// An operator released a content that was held back.
     Pardoned(Fingerprint),
     /// The settings were reloaded.
@@ -332,7 +332,7 @@
         retry: retry::Limits,
     },
     /// Capacity of this box according to its settings; `None` if they don't name it.
-    Sized(Option<Weight>),
+    WeightChanged(Option<Weight>),
     /// A planned stop begins.
     Stop,
 }
--- a/src/reducer/heartbeat.rs
+++ b/src/reducer/heartbeat.rs
@@ -4,12 +4,12 @@
 
 use crate::{
     id::BoxName,
-    member::{HEARTBEAT, Stage},
+    member::{MIN_HEARTBEAT_PERIOD, Stage},
     policy::Policy,
     reducer::{State, control::Control, effect::Effect},
     settings::Seed,
     unit::{Millis, Time},
-    wire::{Body, Contact, Heartbeat, Load, Short, Silent},
+    wire::{Body, Contact, Heartbeat, Load, NameHash, Silent},
 };
 
 /// Time for a box learned from others to answer a greeting before it is greeted again.
@@ -27,7 +27,7 @@
         let mine = &self.table.me.region;
         let in_region = |s: &&Seed| match &s.region {
             Some(region) => region == mine,
-            None => !self.table.is_elsewhere(&s.gossip),
+            None => !self.table.is_in_other_region(&s.gossip),
         };
         let seeds = self.seeds.iter().filter(in_region);
         let known = self.table.peers().map(|p| p.last.contact.gossip);
@@ -37,7 +37,7 @@
         let (monitors, others): (Vec<_>, Vec<_>) = targets
             .into_iter()
             .partition(|to| self.control.monitors.contains(to));
-        self.send_heartbeat(now, HEARTBEAT, monitors, out);
+        self.send_heartbeat(now, MIN_HEARTBEAT_PERIOD, monitors, out);
         let period = self.table.heartbeat_period();
         self.control.announced_period = period;
         self.send_heartbeat(now, period, others, out);
@@ -47,7 +47,7 @@
     /// checks the boxes that it monitors itself.
     pub(super) fn heartbeat_monitors(&mut self, now: Time, out: &mut Vec<Effect>) {
         let period = self.table.heartbeat_period();
-        if period <= HEARTBEAT {
+        if period <= MIN_HEARTBEAT_PERIOD {
             return;
         }
         let before = self.control.monitors.clone();
@@ -55,8 +55,8 @@
         let former: Vec<SocketAddr> = before.difference(&self.control.monitors).copied().collect();
         self.send_heartbeat(now, period, former, out);
         let monitors = self.control.monitors.clone();
-        self.send_heartbeat(now, HEARTBEAT, monitors, out);
-        if self.control.is_awake(now) {
+        self.send_heartbeat(now, MIN_HEARTBEAT_PERIOD, monitors, out);
+        if self.control.has_resumed(now) {
             self.report_silent_boxes(now, out);
         }
     }
@@ -64,7 +64,7 @@
     /// Chooses the boxes that get heartbeats at the shortest period; none in a region so small that
     /// all boxes get them.
     fn choose_monitors(&mut self, now: Time) {
-        let large = self.table.heartbeat_period() > HEARTBEAT;
+        let large = self.table.heartbeat_period() > MIN_HEARTBEAT_PERIOD;
         let monitors = self.table.monitors(now);
         let monitors = monitors.into_iter().map(|contact| contact.gossip);
         self.control.monitors = monitors.filter(|_| large).collect();
@@ -72,7 +72,7 @@
 
     /// Probes the monitored boxes that are overdue, or reports them to the region.
     fn report_silent_boxes(&mut self, now: Time, out: &mut Vec<Effect>) {
-        for suspicion in self.table.watch_over(now) {
+        for suspicion in self.table.detect_failures(now) {
             let others = self.table.live(now).map(|p| p.last.contact.gossip);
             let others = others.filter(|_| suspicion.stage == Stage::Suspected);
             // The suspected box gets the message as well: if it is alive, it can refute the
@@ -82,7 +82,7 @@
                 name: suspicion.name,
                 incarnation: suspicion.incarnation,
                 since: suspicion.silent,
-                asker: (suspicion.stage == Stage::Probed).then_some(self.table.me.gossip),
+                prober: (suspicion.stage == Stage::Probed).then_some(self.table.me.gossip),
             };
             for to in targets {
                 let frame = self.frame(Body::Silent(silent.clone()));
@@ -108,13 +108,17 @@
             } = silent;
             return self.table.suspect(name, *incarnation, *since, now);
         }
-        if let Some(asker) = silent.asker {
+        if let Some(asker) = silent.prober {
             let monitor = self.control.monitors.contains(&asker);
             let period = self.table.heartbeat_period();
-            let pace = if monitor { HEARTBEAT } else { period };
+            let pace = if monitor {
+                MIN_HEARTBEAT_PERIOD
+            } else {
+                period
+            };
             return self.send_heartbeat(now, pace, [asker], out);
         }
-        if Control::due(&mut self.control.last_refutation, HEARTBEAT, now) {
+        if Control::due(&mut self.control.last_refutation, MIN_HEARTBEAT_PERIOD, now) {
             self.broadcast_heartbeat(now, out);
         }
     }
@@ -136,7 +140,7 @@
     fn heartbeat(&self, now: Time, pace: Millis) -> Heartbeat {
         let busy = self.servers.iter().filter(|(_, s)| s.busy > 0);
         let loads = busy.map(|(name, server)| Load {
-            backend: Short::of(name.as_str()),
+            backend: NameHash::of(name.as_str()),
             busy: server.busy,
         });
         Heartbeat {
@@ -149,17 +153,17 @@
             boxes: self.known_boxes(now),
             busy: self.jobs.len() as u32,
             loads: loads.collect(),
-            held: self.quarantine.told(now),
+            held: self.quarantine.to_report(now),
             limits: self.known_limits(now),
             departures: self.known_departures(now),
             listed: self.listed.iter().copied().collect(),
             uses: match self.table.has_hubs() {
                 true => Vec::new(),
-                false => self.accounts.told(now),
+                false => self.accounts.to_report(now),
             },
             trials: match self.table.has_hubs() {
                 true => Vec::new(),
-                false => self.rollouts.told(now),
+                false => self.rollouts.observed_trials(now),
             },
             room: self.table.room,
         }
@@ -187,7 +191,7 @@
         let contacts = self.table.live(now).map(|p| p.last.contact.clone());
         let contacts: Vec<Contact> = contacts.collect();
         let sends_members =
-            boxes <= FEW_KNOWN_BOXES || self.table.rank_beside(name, now) < MEMBER_LIST_SENDERS;
+            boxes <= FEW_KNOWN_BOXES || self.table.rank_except(name, now) < MEMBER_LIST_SENDERS;
         if sends_members && contacts.len() as u32 > boxes {
             let frame = self.frame(Body::Members(contacts));
             out.push(Effect::Gossip { to, frame });
--- a/src/reducer/inventory.rs
+++ b/src/reducer/inventory.rs
@@ -10,13 +10,13 @@
 use crate::{
     config::Backend,
     id,
-    member::weight,
+    member::rendezvous_hash,
     memory::cache,
     memory::prompt::Part,
     policy::Policy,
     reducer::{State, effect::Effect},
     unit::{Millis, Time},
-    wire::{Body, Holding, Short},
+    wire::{Body, Holding, NameHash},
 };
 
 /// Time for other boxes to tell a new one what engines have cached: a greeting and its answer
@@ -39,12 +39,12 @@
     /// Requests the cache content of the engines of this region of which nothing is known.
     pub(super) fn request_inventories(&mut self, now: Time, out: &mut Vec<Effect>) {
         let age = now.since(Time(0));
-        if !self.registry || !self.supplied || age < LISTEN_DELAY || age > REQUEST_WINDOW {
+        if !self.registry || !self.has_fleet_list || age < LISTEN_DELAY || age > REQUEST_WINDOW {
             return;
         }
         // No more requests may be sent until then, and ranking thousands of engines at each tick is
         // avoided.
-        if age < DISCOVERY_TIME && self.asked.len() >= MAX_EARLY_ENGINES {
+        if age < DISCOVERY_TIME && self.inventory_checked.len() >= MAX_EARLY_ENGINES {
             return;
         }
         let Some(config) = self.config.clone() else {
@@ -61,14 +61,14 @@
                 unknown.map(|b| (b.name.clone(), b.address)).collect();
             if age < DISCOVERY_TIME {
                 let by_rank = |(name, _): &(id::Backend, SocketAddr)| {
-                    std::cmp::Reverse(weight(&self.table.me.name, name.as_str()))
+                    std::cmp::Reverse(rendezvous_hash(&self.table.me.name, name.as_str()))
                 };
                 unknown.sort_by_cached_key(by_rank);
-                unknown.truncate(MAX_EARLY_ENGINES.saturating_sub(self.asked.len()));
+                unknown.truncate(MAX_EARLY_ENGINES.saturating_sub(self.inventory_checked.len()));
             }
             for (backend, address) in unknown {
                 // An engine that another box is responsible for need not be ranked again.
-                self.asked.insert(backend.clone());
+                self.inventory_checked.insert(backend.clone());
                 let left = self.control.inventory_requests < MAX_ENGINES;
                 if left && self.table.leads(backend.as_str(), now) {
                     self.control.inventory_requests += 1;
@@ -81,20 +81,20 @@
     /// Reports whether nothing is known of the cache of `engine` and it may be asked: a cold one
     /// has cached nothing and may not withstand the call.
     fn needs_inventory(&self, now: Time, engine: &Backend) -> bool {
-        let known = self.cache.knows(Short::of(engine.name.as_str()));
+        let known = self.cache.knows(NameHash::of(engine.name.as_str()));
         let unavailable = engine.leaving || self.fleet.is_cold(&engine.name, now);
-        !known && !unavailable && !self.asked.contains(&engine.name)
+        !known && !unavailable && !self.inventory_checked.contains(&engine.name)
     }
 
     /// Records what an engine has cached, and broadcasts it to this and the other regions.
-    pub(super) fn learn_cached(
+    pub(super) fn record_inventory(
         &mut self,
         now: Time,
         backend: &id::Backend,
         parts: &[Part],
         out: &mut Vec<Effect>,
     ) {
-        let short = Short::of(backend.as_str());
+        let short = NameHash::of(backend.as_str());
         let long = parts.iter().filter(|part| part.tokens >= cache::LONG);
         let holdings: Vec<Holding> = long
             .map(|part| Holding {
@@ -109,7 +109,7 @@
         let local = self.table.live(now).map(|p| p.last.contact.gossip);
         let remotes = self.table.reachable(now);
         let remote_doors =
-            remotes.flat_map(|(_, r)| r.digest.doors.iter().map(|d| d.contact.gossip));
+            remotes.flat_map(|(_, r)| r.digest.endpoints.iter().map(|d| d.contact.gossip));
         let targets: Vec<SocketAddr> = local.chain(remote_doors).collect();
         for to in targets {
             let frame = self.frame(Body::Holdings(holdings.clone()));
--- a/src/reducer/job.rs
+++ b/src/reducer/job.rs
@@ -1,7 +1,7 @@
 //! State of one request in flight.
 
 use crate::{
-    config::{Ask, Plan},
+    config::{Plan, Query},
     content::{Content, Fingerprint},
     id::{self, Service},
     memory::prompt::Prompt,
@@ -12,18 +12,18 @@
 };
 
 /// Default time after which a caller should retry.
-pub(super) const SOON: Millis = Millis(1000);
+pub(super) const DEFAULT_RETRY_AFTER: Millis = Millis(1000);
 
 /// Returns `wait` varied by up to 30 % in either direction, so that callers refused together don't
 /// retry together; `draw` is the request's own random number.
-pub(super) fn spread(wait: f64, draw: u64) -> Millis {
+pub(super) fn jittered(wait: f64, draw: u64) -> Millis {
     let factor = 0.7 + 0.6 * (draw % 1024) as f64 / 1024.0;
     Millis((wait * factor) as u64)
 }
 
 /// Target of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Spot {
+pub(super) enum Assignment {
     /// The place that the policy chose and, for another region, the box that takes the request
     /// there.
     Chosen(Place, Option<id::BoxName>),
@@ -39,7 +39,7 @@
     /// One attempt is in flight.
     Sent {
         attempt: id::Attempt,
-        spot: Spot,
+        spot: Assignment,
         at: Time,
         /// Prompt tokens that the place was expected to compute.
         work: u32,
@@ -49,12 +49,12 @@
         begun: Option<Time>,
     },
     /// Waiting for the answer to another request with the same key.
-    Joined(id::Request),
+    AwaitingOwner(id::Request),
 }
 
 /// Amount that a request was charged against its customer's allotment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Booking {
+pub(super) struct Charge {
     /// Charged units.
     pub(super) cost: f64,
     /// Time of the latest charge.
@@ -66,7 +66,7 @@
 /// A request in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    pub(super) ask: Ask,
+    pub(super) ask: Query,
     pub(super) service: Service,
     /// Fingerprint of the requested content and of its customer.
     pub(super) content: Fingerprint,
@@ -81,7 +81,7 @@
     /// Whether another place may resume the stream after a cut.
     pub(super) resumable: bool,
     pub(super) owns_key: bool,
-    pub(super) came: Time,
+    pub(super) arrived_at: Time,
     pub(super) deadline: Time,
     /// Whether the request was taken off a backend server while its answer was in progress.
     pub(super) moved: bool,
@@ -93,11 +93,11 @@
     /// Time from arrival within which the answer should begin.
     pub(super) target: Option<Millis>,
     /// Whether the deadline applies to the whole answer rather than to its beginning only.
-    pub(super) bounded: bool,
+    pub(super) deadline_covers_answer: bool,
     pub(super) tried: Vec<Place>,
     pub(super) may_have_run: bool,
     /// Charge against the customer's allotment, if this box made it.
-    pub(super) booking: Option<Booking>,
+    pub(super) charge: Option<Charge>,
     /// Position in the queue, once the request was enqueued; it then waits until it is served or
     /// its deadline passes.
     pub(super) position: Option<usize>,
@@ -105,7 +105,7 @@
     /// Progress of moving the run to another engine.
     pub(super) transfer: Option<Transfer>,
     /// Engines that were asked to take the run; each is asked once.
-    pub(super) refuges: Vec<id::Backend>,
+    pub(super) move_targets: Vec<id::Backend>,
     /// Whether the answer of the current attempt was already counted for or against its release.
     pub(super) judged: bool,
 }
@@ -113,13 +113,13 @@
 impl Job {
     /// Creates a request that arrived directly from its caller at `now`, with the settings of its
     /// route.
-    pub(super) fn new(plan: &Plan<'_>, ask: Ask, content: Content, now: Time) -> Self {
+    pub(super) fn new(plan: &Plan<'_>, ask: Query, content: Content, now: Time) -> Self {
         let route = plan.route;
         Self {
             service: plan.service.clone(),
             content: Fingerprint::new(&ask.customer, content),
             ask,
-            line: plan.line.clone(),
+            line: plan.queue.clone(),
             prefix: 0,
             prompt: None,
             hop: Hop::Direct,
@@ -127,21 +127,21 @@
             stream: route.stream.is_some(),
             resumable: route.stream.is_some_and(|s| s.resumable),
             owns_key: false,
-            came: now,
+            arrived_at: now,
             deadline: now + route.deadline,
             moved: false,
             attempts: 0,
             runs: route.attempts,
             priority: plan.priority(),
-            target: route.target,
-            bounded: route.hold.is_some(),
+            target: route.target_latency,
+            deadline_covers_answer: route.max_duration.is_some(),
             tried: vec![],
             may_have_run: false,
-            booking: None,
+            charge: None,
             position: None,
             stage: Stage::Waiting,
             transfer: None,
-            refuges: vec![],
+            move_targets: vec![],
             judged: false,
         }
     }
--- a/src/reducer/judge.rs
+++ b/src/reducer/judge.rs
@@ -12,13 +12,13 @@
     reducer::{
         State,
         event::Cause,
-        job::{Spot, Stage},
+        job::{Assignment, Stage},
         outcome::InFlight,
         rollout::Rollouts,
         watch::Watch,
     },
     unit::{Millis, Time},
-    wire::{Short, Trial},
+    wire::{NameHash, Trial},
 };
 
 /// Maximum number of broken attempts kept for one server while it is probed.
@@ -55,9 +55,9 @@
             return;
         }
         let is_new = watch.is_new(backend);
-        let key = Short::of(route.as_str());
+        let key = NameHash::of(route.as_str());
         let trial = watch.trials.entry(key).or_insert(Trial {
-            service: Short::of(service.as_str()),
+            service: NameHash::of(service.as_str()),
             order,
             route: key,
             age: Millis(0),
@@ -69,7 +69,7 @@
         if !is_new {
             return trial.old.add(bad);
         }
-        let bit = 1 << (Short::of(backend.name.as_str()).0 % u64::BITS);
+        let bit = 1 << (NameHash::of(backend.name.as_str()).0 % u64::BITS);
         trial.new.add(bad);
         trial.seen |= bit;
         trial.failing |= if bad { bit } else { 0 };
@@ -131,7 +131,7 @@
         took: Millis,
         over: bool,
     ) {
-        let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot else {
+        let Assignment::Chosen(Place::Backend(name), _) = &in_flight.spot else {
             return;
         };
         let (Some(job), Some(backend)) = (self.jobs.get_mut(&request), self.fleet.get(name)) else {
@@ -154,8 +154,8 @@
     }
 
     /// Judges an attempt that failed.
-    pub(super) fn judge_failed(&mut self, request: id::Request, spot: &Spot, cause: Cause) {
-        let Spot::Chosen(Place::Backend(name), _) = spot else {
+    pub(super) fn judge_failed(&mut self, request: id::Request, spot: &Assignment, cause: Cause) {
+        let Assignment::Chosen(Place::Backend(name), _) = spot else {
             return;
         };
         let (Some(job), Some(backend)) = (self.jobs.get_mut(&request), self.fleet.get(name)) else {
@@ -197,7 +197,7 @@
         let mut overdue = Vec::new();
         for (request, job) in &self.jobs {
             let Stage::Sent {
-                spot: Spot::Chosen(Place::Backend(name), _),
+                spot: Assignment::Chosen(Place::Backend(name), _),
                 at,
                 work,
                 begun: None,
--- a/src/reducer/key.rs
+++ b/src/reducer/key.rs
@@ -10,7 +10,7 @@
         State,
         effect::{Basis, Effect, Reply, Send, Target},
         event::{Credential, Hop, Key},
-        job::{Job, SOON, Spot, Stage},
+        job::{Assignment, DEFAULT_RETRY_AFTER, Job, Stage},
     },
     unit::{Millis, Time},
     verdict::Verdict,
@@ -53,7 +53,7 @@
     pub(super) fn names_this_box(&self, now: Time, key: &pin::Key) -> bool {
         let pin = &key.pin;
         let me = pin.peer == self.table.me.peer && pin.incarnation == self.table.incarnation;
-        me && pin.expiry > now && pin.expiry <= now + pin::LIFE
+        me && pin.expiry > now && pin.expiry <= now + pin::PIN_LIFETIME
     }
 
     pub(super) fn admit_key(
@@ -68,7 +68,7 @@
             Key::Good(key) => key,
             Key::Absent => return Err(key_required("this route needs an idempotency key")),
             Key::Bad(error @ pin::Error::Malformed) => return Err(key_required(error)),
-            Key::Bad(error @ pin::Error::Foreign) => {
+            Key::Bad(error @ pin::Error::WrongSecret) => {
                 return Err(Reply::new(409, Verdict::MayHaveRun, error));
             }
         };
@@ -82,7 +82,7 @@
         if key.pin.expiry <= now {
             return Err(Reply::new(409, Verdict::MayHaveRun, "the key has expired"));
         }
-        if key.pin.expiry > now + pin::LIFE {
+        if key.pin.expiry > now + pin::PIN_LIFETIME {
             return Err(key_required("the key's end lies too far ahead"));
         }
         match self.ledger.claim(&job.ask.customer, key, request) {
@@ -96,7 +96,7 @@
                 self.place_or_enqueue(now, request, job, out);
             }
             Outcome::Joined(owner) => {
-                job.stage = Stage::Joined(owner);
+                job.stage = Stage::AwaitingOwner(owner);
                 self.insert_job(request, job);
             }
             Outcome::Finished(answer) => out.push(Effect::Replay { request, answer }),
@@ -115,7 +115,8 @@
             }
             Outcome::Full => {
                 let reason = "this box remembers too many keys";
-                return Err(Reply::new(503, Verdict::MayHaveRun, reason).after(SOON));
+                return Err(Reply::new(503, Verdict::MayHaveRun, reason)
+                    .with_retry_after(DEFAULT_RETRY_AFTER));
             }
         }
         Ok(())
@@ -135,11 +136,11 @@
         };
         job.owns_key = false;
         job.position = None;
-        job.stage = Stage::Joined(request);
-        let spot = job.spot();
+        job.stage = Stage::AwaitingOwner(request);
+        let spot = job.queue_position();
         self.queue.remove(&spot, owner);
         self.late.remove(&spot, owner);
-        self.ledger.hand_over(owner, request);
+        self.ledger.transfer_ownership(owner, request);
     }
 
     /// Sends a request to the box that its key names. Only requests that arrived directly from a
@@ -161,7 +162,7 @@
         job.may_have_run = true;
         job.stage = Stage::Sent {
             attempt,
-            spot: Spot::Pinned,
+            spot: Assignment::Pinned,
             at: now,
             work: 0,
             expected: Millis(0),
--- a/src/reducer/limit.rs
+++ b/src/reducer/limit.rs
@@ -9,8 +9,8 @@
 use crate::{
     config::Backend,
     id::{self, BoxName},
-    limit::{self, Limit, Share, Word, Worth},
-    member::{FORGET, Peer},
+    limit::{self, Announcement, Freshness, Limit, Share},
+    member::{PEER_RETENTION, Peer},
     policy::Policy,
     reducer::{
         State,
@@ -19,7 +19,7 @@
         job::Job,
     },
     unit::{Millis, Rate, Time},
-    wire::{self, Body, Phase, Short},
+    wire::{self, Body, NameHash, Phase},
 };
 
 /// Maximum number of limits in one message, the newest first: 21 bytes each, 1 KB in all.
@@ -27,11 +27,11 @@
 
 impl<P: Policy> State<P> {
     /// Records the limit in a backend server's answer to a request that was sent at `sent`.
-    pub(super) fn hear_limit(
+    pub(super) fn record_limit(
         &mut self,
         now: Time,
         name: &id::Backend,
-        word: Word,
+        word: Announcement,
         sent: Time,
         out: &mut Vec<Effect>,
     ) {
@@ -39,18 +39,18 @@
             return;
         }
         let server = self.servers.entry(name.clone()).or_default();
-        if !server.limit.hear(word, sent, now) {
+        if !server.limit.apply_announcement(word, sent, now) {
             return;
         }
         out.push(Effect::Noted(match word {
-            Word::Unreadable => Note::Unreadable(name.clone()),
-            Word::Silent | Word::Most(_) => limit_note(name, &server.limit),
+            Announcement::Unreadable => Note::Unreadable(name.clone()),
+            Announcement::Absent | Announcement::Rate(_) => limit_note(name, &server.limit),
         }));
     }
 
     /// Applies the limits in a heartbeat, and sends the ones that were out of date back to its
     /// sender.
-    pub(super) fn hear_limits(
+    pub(super) fn receive_limits(
         &mut self,
         now: Time,
         from: &BoxName,
@@ -58,7 +58,7 @@
         to: SocketAddr,
         out: &mut Vec<Effect>,
     ) {
-        let outdated = self.learn_limits(now, from, limits, out);
+        let outdated = self.merge_limits(now, from, limits, out);
         if !outdated.is_empty() {
             self.send_all(Body::Limits(outdated), [to], out);
         }
@@ -66,7 +66,7 @@
 
     /// Applies limits received from another box; returns the limits for which this box has newer
     /// values.
-    pub(super) fn learn_limits(
+    pub(super) fn merge_limits(
         &mut self,
         now: Time,
         from: &BoxName,
@@ -75,20 +75,28 @@
     ) -> Vec<wire::Limit> {
         let mut outdated = Vec::new();
         for reported in limits.iter().take(MAX_LIMITS_PER_MESSAGE) {
-            let Some(backend) = self.named_here(reported.backend, reported.life).cloned() else {
+            let Some(backend) = self
+                .find_local_backend(reported.backend, reported.life)
+                .cloned()
+            else {
                 continue;
             };
-            let awake = self.control.is_awake(now);
+            let awake = self.control.has_resumed(now);
             let server = self.servers.entry(backend.name.clone()).or_default();
             // A message that was delayed while this box was suspended seems newer than it is. A
             // looser limit is ignored until it is received again.
             if !awake && server.limit.is_loosened_by(reported.rate) {
                 continue;
             }
-            match server.limit.learn(reported.rate, now - reported.age, from) {
-                Worth::News => out.push(Effect::Noted(limit_note(&backend.name, &server.limit))),
-                Worth::Known => {}
-                Worth::Old => outdated.extend(wire_limit(&backend, &server.limit, now)),
+            match server
+                .limit
+                .apply_report(reported.rate, now - reported.age, from)
+            {
+                Freshness::Newer => {
+                    out.push(Effect::Noted(limit_note(&backend.name, &server.limit)))
+                }
+                Freshness::Same => {}
+                Freshness::Older => outdated.extend(wire_limit(&backend, &server.limit, now)),
             }
         }
         outdated
@@ -96,13 +104,13 @@
 
     /// Returns the backend server of this region with this short name, if it is still in the given
     /// incarnation.
-    pub(super) fn named_here(&self, backend: Short, life: Short) -> Option<&Backend> {
+    pub(super) fn find_local_backend(&self, backend: NameHash, life: NameHash) -> Option<&Backend> {
         let backend = self.fleet.get(self.fleet.long(backend)?)?;
-        (self.is_here(backend) && backend.life() == life).then_some(backend)
+        (self.is_local(backend) && backend.life() == life).then_some(backend)
     }
 
     /// Reports whether `backend` is in this box's region.
-    pub(super) fn is_here(&self, backend: &Backend) -> bool {
+    pub(super) fn is_local(&self, backend: &Backend) -> bool {
         backend.region == self.table.me.region
     }
 
@@ -121,10 +129,10 @@
     }
 
     /// Sends limits that changed since the last time to the boxes of the region at once.
-    pub(super) fn tell_limits(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn send_limits(&mut self, now: Time, out: &mut Vec<Effect>) {
         let mut changed = Vec::new();
         for (name, server) in &mut self.servers {
-            if server.limit.tell(now)
+            if server.limit.take_due_report(now)
                 && let Some(backend) = self.fleet.get(name)
             {
                 changed.extend(wire_limit(backend, &server.limit, now));
@@ -138,7 +146,7 @@
     }
 
     /// Recomputes this box's shares, as boxes join and leave.
-    pub(super) fn split_limits(&mut self, now: Time) {
+    pub(super) fn update_limit_shares(&mut self, now: Time) {
         let limited = self.servers.iter().filter_map(|(name, server)| {
             let rate = server.limit.rate()?;
             Some((name.clone(), self.limit_share(now, name, rate)))
@@ -146,7 +154,7 @@
         let shares: Vec<(id::Backend, Share)> = limited.collect();
         for (name, share) in shares {
             if let Some(server) = self.servers.get_mut(&name) {
-                server.limit.split(share, now);
+                server.limit.set_share(share, now);
             }
         }
     }
@@ -162,9 +170,9 @@
         }
         let retention = |peer: &Peer| match peer.last.phase {
             Phase::Leaving => SHARE_RETENTION,
-            Phase::Unready | Phase::Ready => FORGET,
+            Phase::Unready | Phase::Ready => PEER_RETENTION,
         };
-        let (rank, boxes) = self.table.standing(name.as_str(), retention, now);
+        let (rank, boxes) = self.table.rank_among_active(name.as_str(), retention, now);
         limit::share(rate, rank, boxes)
     }
 
@@ -182,9 +190,9 @@
             return false;
         };
         let here = self.fleet.serving(&plan.service, &self.table.me.region);
-        let usable = |b: &&Backend| plan.allows(b) && self.excluded(now, b).is_none();
+        let usable = |b: &&Backend| plan.permits_backend(b) && self.excluded(now, b).is_none();
         let full = |b: &Backend| self.limit_wait(now, &b.name, 0.0) != Some(Millis(0));
-        plan.permits(&self.table.me.region) && here.filter(usable).any(full)
+        plan.permits_region(&self.table.me.region) && here.filter(usable).any(full)
     }
 
     /// Returns the number of backend servers known to announce a limit.
@@ -199,10 +207,10 @@
 /// Returns the wire form of what is known of a server's limit, or `None` if nothing is known.
 fn wire_limit(backend: &Backend, limit: &Limit, now: Time) -> Option<wire::Limit> {
     Some(wire::Limit {
-        backend: Short::of(backend.name.as_str()),
+        backend: NameHash::of(backend.name.as_str()),
         life: backend.life(),
         rate: limit.rate(),
-        age: now.since(limit.at()?),
+        age: now.since(limit.effective_at()?),
     })
 }
 
@@ -210,6 +218,6 @@
     Note::Limited {
         backend: name.clone(),
         rate: limit.rate(),
-        teller: limit.teller().cloned(),
+        teller: limit.reporter().cloned(),
     }
 }
--- a/src/reducer/line.rs
+++ b/src/reducer/line.rs
@@ -6,12 +6,12 @@
 use crate::{
     id::{self, Service},
     policy::Policy,
-    queue::{Rank, Spot},
+    queue::{Position, Rank},
     reducer::{
         State,
         effect::{Effect, Reply},
         event::Hop,
-        job::{self, Job, SOON},
+        job::{self, DEFAULT_RETRY_AFTER, Job},
     },
     unit::{Millis, Time},
 };
@@ -34,8 +34,8 @@
 
 impl Job {
     /// Returns the request's position among the queues.
-    pub(super) fn spot(&self) -> Spot {
-        Spot {
+    pub(super) fn queue_position(&self) -> Position {
+        Position {
             line: self.line.clone(),
             service: self.service.clone(),
             priority: self.priority,
@@ -45,7 +45,8 @@
 
     /// Reports whether the answer can no longer begin in time.
     fn is_late(&self, now: Time) -> bool {
-        self.target.is_some_and(|target| now >= self.came + target)
+        self.target
+            .is_some_and(|target| now >= self.arrived_at + target)
     }
 
     /// Returns how long the request would wait for a place: up to its target if it is new, and up
@@ -63,29 +64,31 @@
     /// of its target a later refusal still leaves its caller time to retry.
     pub(super) fn may_linger(&self, now: Time) -> bool {
         let quarter = self.target.map(|target| Millis(target.0 / 4));
-        quarter.is_some_and(|quarter| now < self.came + quarter)
+        quarter.is_some_and(|quarter| now < self.arrived_at + quarter)
     }
 
     /// Reports whether a direct send of the same key may still arrive for a request that another
     /// box passed on and that has no place in this region.
     pub(super) fn awaits_direct_send(&self, now: Time) -> bool {
-        self.hop == Hop::Pass && now < self.came + MAX_DIRECT_WAIT
+        self.hop == Hop::Pass && now < self.arrived_at + MAX_DIRECT_WAIT
     }
 
     /// Reports whether a relayed request is to be refused, which returns it to its own region.
     fn is_relay_wait_over(&self, now: Time) -> bool {
-        matches!(self.hop, Hop::Relay(_)) && now >= self.came + MAX_RELAYED_WAIT && !self.moved
+        matches!(self.hop, Hop::Relay(_))
+            && now >= self.arrived_at + MAX_RELAYED_WAIT
+            && !self.moved
     }
 
     /// Returns when a late request is abandoned while it waits.
     fn abandon_at(&self) -> Time {
-        let whole = self.deadline.since(self.came).0 as f64;
-        self.came + Millis((whole * LATE_ABANDON_SHARE) as u64)
+        let whole = self.deadline.since(self.arrived_at).0 as f64;
+        self.arrived_at + Millis((whole * LATE_ABANDON_SHARE) as u64)
     }
 
     /// Reports whether the answer could still begin in time after `wait`.
     pub(super) fn can_wait(&self, wait: Millis, now: Time) -> bool {
-        let target = self.target.map(|target| self.came + target);
+        let target = self.target.map(|target| self.arrived_at + target);
         now + wait < target.unwrap_or(self.deadline).min(self.deadline)
     }
 
@@ -93,23 +96,23 @@
     /// that long, and spread over half as long again.
     pub(super) fn retry_after_at_least(&self, wait: Millis) -> Millis {
         let wait = wait.max(RETRY_AFTER_BOUNDS.0);
-        Millis(wait.0 + wait.0 * (self.ask.draw % 1024) / 2048)
+        Millis(wait.0 + wait.0 * (self.ask.random % 1024) / 2048)
     }
 
     /// Returns the retry delay for a caller whose request would have had its turn at a rate-limited
     /// backend server after `wait`.
     pub(super) fn retry_after_turn(&self, wait: Millis) -> Millis {
-        job::spread(wait.max(RETRY_AFTER_BOUNDS.0).0 as f64, self.ask.draw)
+        job::jittered(wait.max(RETRY_AFTER_BOUNDS.0).0 as f64, self.ask.random)
     }
 
     /// Returns the retry delay for a caller whose request would have waited for `wait`. With a
     /// target it is bounded, and spread so that callers refused together don't retry together.
     pub(super) fn retry_after(&self, wait: Millis) -> Millis {
         if self.target.is_none() {
-            return wait.max(SOON);
+            return wait.max(DEFAULT_RETRY_AFTER);
         }
         let wait = wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1);
-        job::spread(wait.0 as f64, self.ask.draw)
+        job::jittered(wait.0 as f64, self.ask.random)
     }
 }
 
@@ -120,9 +123,13 @@
             return;
         };
         job.position = Some(MAX_BLOCKED);
-        let (spot, verdict, wait) = (job.spot(), job.verdict(), job.retry_after(SOON));
+        let (spot, verdict, wait) = (
+            job.queue_position(),
+            job.verdict(),
+            job.retry_after(DEFAULT_RETRY_AFTER),
+        );
         if !self.queue.push(&spot, request) {
-            let reply = Reply::new(503, verdict, "too many requests wait").after(wait);
+            let reply = Reply::new(503, verdict, "too many requests wait").with_retry_after(wait);
             return self.finish(request, reply, out);
         }
         let waiting = self.waiting_for(&spot.service);
@@ -159,18 +166,18 @@
                 continue;
             }
             if job.is_late(now) {
-                let spot = job.spot();
+                let spot = job.queue_position();
                 self.late.push(&spot, request);
                 continue;
             }
             job.position = Some(blocked.len());
-            if !self.place(now, request, out) {
+            if !self.try_place(now, request, out) {
                 blocked.push(request);
             }
         }
         for request in blocked.into_iter().rev() {
             if let Some(job) = self.jobs.get(&request) {
-                self.queue.put_back(&job.spot(), request);
+                self.queue.put_back(&job.queue_position(), request);
             }
         }
     }
@@ -182,15 +189,16 @@
                 continue;
             };
             if now >= job.abandon_at() && !job.moved {
-                let (verdict, wait) = (job.verdict(), job.retry_after(SOON));
-                let reply = Reply::new(503, verdict, "no slot was free in time").after(wait);
+                let (verdict, wait) = (job.verdict(), job.retry_after(DEFAULT_RETRY_AFTER));
+                let reply =
+                    Reply::new(503, verdict, "no slot was free in time").with_retry_after(wait);
                 self.finish(request, reply, out);
                 continue;
             }
-            let spot = job.spot();
+            let spot = job.queue_position();
             job.position = Some(0);
             let others_first = self.queue.ahead(&spot) > 0;
-            if others_first || !self.place(now, request, out) {
+            if others_first || !self.try_place(now, request, out) {
                 self.late.put_back(&spot, request);
                 return;
             }
--- a/src/reducer/mod.rs
+++ b/src/reducer/mod.rs
@@ -112,10 +112,10 @@
 /// Interval between two ticks.
 pub const TICK: Millis = Millis(100);
 /// A longer gap between two events means that the process was suspended.
-pub const FREEZE: Millis = Millis(3000);
+pub const SUSPENSION_THRESHOLD: Millis = Millis(3000);
 /// Time after a suspension during which a box accepts no work, so that it first receives the
 /// updates that it missed.
-pub const WAKE_GRACE: Millis = Millis(1000);
+pub const RESUME_GRACE: Millis = Millis(1000);
 /// Longest time after its start for which a box waits to hear from its peers. Until then its view
 /// of the region counts as incomplete and, unless backend servers register with the platform, it is
 /// not ready before it heard from a peer.
@@ -156,7 +156,7 @@
     servers: HashMap<id::Backend, Server>,
     ledger: Ledger,
     accounts: Accounts,
-    splits: allot::Splits,
+    distribution: allot::Distribution,
     queue: Queue,
     /// Waiting requests whose answers can no longer begin in time.
     late: Queue,
@@ -165,13 +165,13 @@
     cache: Cache,
     budgets: Budgets,
     quarantine: Quarantine,
-    suspects: suspect::Suspects,
+    suspects: suspect::CrashProbes,
     demand: demand::Demand,
     listed: BTreeSet<SocketAddr>,
     evacuated: BTreeSet<Domain>,
     rollouts: rollout::Rollouts,
     /// Whether the list of backend servers is known.
-    supplied: bool,
+    has_fleet_list: bool,
     /// Latest known revision of the platform's store, from the store itself or from another box.
     revision: Revision,
     /// When the store last answered; `None` before its first answer, and where no store is
@@ -180,8 +180,8 @@
     /// Whether backend servers register with the platform.
     registry: bool,
     /// Engines already considered for a query of their cached parts by this box.
-    asked: BTreeSet<id::Backend>,
-    engine_news: engine_news::Desk,
+    inventory_checked: BTreeSet<id::Backend>,
+    engine_news: engine_news::Tracker,
     attempts: u64,
     control: control::Control,
 }
@@ -200,7 +200,7 @@
             servers: HashMap::new(),
             ledger: Ledger::default(),
             accounts: Accounts::new(identity.tolerance),
-            splits: allot::Splits::default(),
+            distribution: allot::Distribution::default(),
             queue: Queue::default(),
             late: Queue::default(),
             fleet: Fleet::default(),
@@ -208,17 +208,17 @@
             cache: Cache::default(),
             budgets: Budgets::new(identity.retry, identity.first_start),
             quarantine: Quarantine::default(),
-            suspects: suspect::Suspects::default(),
+            suspects: suspect::CrashProbes::default(),
             demand: demand::Demand::default(),
             listed: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             rollouts: rollout::Rollouts::new(identity.exposure),
-            supplied: !identity.registry,
+            has_fleet_list: !identity.registry,
             revision: Revision::default(),
             store_heard: None,
             registry: identity.registry,
-            asked: BTreeSet::new(),
-            engine_news: engine_news::Desk::default(),
+            inventory_checked: BTreeSet::new(),
+            engine_news: engine_news::Tracker::default(),
             attempts: 0,
             control: control::Control::default(),
         }
@@ -227,38 +227,42 @@
     /// Processes one event at `now` and returns the effects.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.notice_freeze(now, &mut out);
+        self.detect_suspension(now, &mut out);
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Alive(signs) => self.hear_signs(now, signs, &mut out),
+            Event::StreamsActive(signs) => self.record_activity(now, signs, &mut out),
             Event::Arrived(arrival) => self.handle_arrival(now, arrival, &mut out),
             Event::Asked {
                 request,
                 credential,
             } => self.boxes(now, request, &credential, &mut out),
-            Event::Gone(request) => self.gone(now, request, &mut out),
+            Event::Disconnected(request) => self.on_disconnected(now, request, &mut out),
             Event::Limited {
                 backend,
                 word,
                 sent,
-            } => self.hear_limit(now, &backend, word, sent, &mut out),
+            } => self.record_limit(now, &backend, word, sent, &mut out),
             Event::Departing {
                 backend,
                 incarnation,
-            } => self.hear_departure(now, &backend, incarnation, &mut out),
+            } => self.record_departure(now, &backend, incarnation, &mut out),
             Event::PushedBack {
                 backend,
                 incarnation,
                 word,
-            } => self.hear_pushback(now, &backend, incarnation, word, &mut out),
-            Event::Begun { request, attempt } => self.begun(now, request, attempt, &mut out),
+            } => self.record_pushback(now, &backend, incarnation, word, &mut out),
+            Event::Begun { request, attempt } => {
+                self.on_answer_started(now, request, attempt, &mut out)
+            }
             Event::Ended {
                 request,
                 attempt,
                 whole,
                 ..
-            } => self.ended(now, request, attempt, whole, &mut out),
-            Event::Broke { request, attempt } => self.broke(now, request, attempt, &mut out),
+            } => self.on_attempt_ended(now, request, attempt, whole, &mut out),
+            Event::StreamCut { request, attempt } => {
+                self.on_stream_cut(now, request, attempt, &mut out)
+            }
             Event::Closed { request, attempt } => self.closed(now, request, attempt, &mut out),
             Event::Moved {
                 request,
@@ -271,60 +275,62 @@
                 attempt,
                 verdict,
                 cause,
-            } => self.failed(now, request, attempt, verdict, cause, &mut out),
-            Event::Heard(frame) => self.heard(now, frame, &mut out),
-            Event::Offered { config, source } => self.offered(now, config, source, &mut out),
-            Event::Unreadable(version) => self.unreadable(version, &mut out),
+            } => self.on_attempt_failed(now, request, attempt, verdict, cause, &mut out),
+            Event::Received(frame) => self.receive_frame(now, frame, &mut out),
+            Event::Offered { config, source } => self.apply_config(now, config, source, &mut out),
+            Event::InvalidConfig(version) => self.reject_config(version, &mut out),
             Event::Listed(listed) => {
                 self.listed = listed;
                 self.drain_all(now, &mut out);
             }
-            Event::Roster(roster) => self.take_roster(now, roster, &mut out),
+            Event::Roster(roster) => self.apply_roster(now, roster, &mut out),
             Event::Fleet { revision, .. }
             | Event::Evacuated { revision, .. }
             | Event::Rollouts { revision, .. }
-                if self.is_old(revision) =>
+                if self.is_outdated(revision) =>
             {
-                self.drop_old(revision, &mut out);
+                self.log_outdated(revision, &mut out);
             }
             Event::Fleet { change, revision } => {
-                self.notice_era(now, revision.era, &mut out);
-                self.gather(&change);
-                self.supplied(now, change, revision, &mut out);
+                self.handle_era(now, revision.era, &mut out);
+                self.queue_store_change(&change);
+                self.apply_fleet_change(now, change, revision, &mut out);
             }
             Event::Synced(revision) => {
-                self.pass_news(now, revision, &mut out);
-                self.sync(now, revision);
+                self.forward_store_changes(now, revision, &mut out);
+                self.record_store_sync(now, revision);
             }
-            Event::Cached { backend, parts } => {
-                self.learn_cached(now, &backend, &parts, &mut out);
+            Event::Inventory { backend, parts } => {
+                self.record_inventory(now, &backend, &parts, &mut out);
             }
-            Event::EngineNews {
+            Event::EngineReport {
                 backend,
                 incarnation,
                 news,
-            } => self.take_engine_news(now, &backend, incarnation, &news),
+            } => self.record_engine_report(now, &backend, incarnation, &news),
             Event::Evacuated { domains, revision } => {
-                self.notice_era(now, revision.era, &mut out);
-                self.evacuate(now, domains, &mut out);
+                self.handle_era(now, revision.era, &mut out);
+                self.set_evacuated(now, domains, &mut out);
             }
             Event::Rollouts { rollouts, revision } => {
-                self.notice_era(now, revision.era, &mut out);
-                self.take_rollouts(now, &rollouts, &mut out);
+                self.handle_era(now, revision.era, &mut out);
+                self.apply_rollouts(now, &rollouts, &mut out);
             }
             Event::Resolve {
                 request,
                 region,
                 host,
             } => self.resolve(now, request, &region, host.as_deref(), &mut out),
-            Event::Knocked { backend, closed } => self.knocked(now, &backend, closed, &mut out),
-            Event::Kept(content) => self.kept(now, content, &mut out),
+            Event::Probed { backend, closed } => {
+                self.on_probe_result(now, &backend, closed, &mut out)
+            }
+            Event::HeldBack(content) => self.on_stored_quarantine(now, content, &mut out),
             Event::Pardoned(content) => self.pardon(now, content, &mut out),
             Event::Reloaded { seeds, retry } => {
                 self.seeds = seeds;
-                self.budgets.limit(retry);
+                self.budgets.set_limits(retry);
             }
-            Event::Sized(weight) => self.resize(now, weight, &mut out),
+            Event::WeightChanged(weight) => self.resize(now, weight, &mut out),
             Event::Stop => self.stop(now, &mut out),
         }
         out
@@ -343,7 +349,7 @@
     /// Returns whether the box accepts work at `now`.
     pub fn phase(&self, now: Time) -> Phase {
         // With a registry the store provides everything that a box needs to become ready.
-        let configured = self.config.is_some() && self.supplied;
+        let configured = self.config.is_some() && self.has_fleet_list;
         self.control.phase(configured, self.registry, now)
     }
 
--- a/src/reducer/moving/choice.rs
+++ b/src/reducer/moving/choice.rs
@@ -8,12 +8,12 @@
     reducer::{
         State,
         effect::Site,
-        job::{Job, Spot, Stage},
-        place::drawn,
+        job::{Assignment, Job, Stage},
+        place::random_rank,
     },
     server::Server,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 use super::Step;
@@ -96,7 +96,7 @@
                 continue;
             };
             let place = Place::Backend(source.clone());
-            let can_start = job.transfer.is_none() && job.refuges.len() < MAX_TARGETS;
+            let can_start = job.transfer.is_none() && job.move_targets.len() < MAX_TARGETS;
             let here = job.streams_at(source) && self.is_movable(job, &place);
             if can_start && here && now + moving_time(job, &engine) <= end {
                 runs.push((value_per_ms(job, &engine), *request));
@@ -120,11 +120,11 @@
         let plan = config.plan(&job.ask).ok()?;
         let mine = &self.table.me.region;
         // A run may not move to where a new request would not be allowed.
-        if plan.service != job.service || !plan.permits(mine) {
+        if plan.service != job.service || !plan.permits_region(mine) {
             return None;
         }
         let eligible = self.fleet.serving(&job.service, mine);
-        let eligible = eligible.filter(|b| plan.allows(b) && b.release == source.release);
+        let eligible = eligible.filter(|b| plan.permits_backend(b) && b.release == source.release);
         let eligible = eligible.filter(|b| self.can_take_run(now, job, b));
         let mut eligible: Vec<(&Backend, u32)> = eligible
             .map(|b| (b, self.free_slots(now, b)))
@@ -134,8 +134,8 @@
         if eligible.iter().any(|(b, _)| same_domain(b)) {
             eligible.retain(|(b, _)| same_domain(b));
         }
-        let draw = job.ask.draw.wrapping_add(job.refuges.len() as u64);
-        eligible.sort_by_key(|(b, _)| drawn(draw, &Place::Backend(b.name.clone())));
+        let draw = job.ask.random.wrapping_add(job.move_targets.len() as u64);
+        eligible.sort_by_key(|(b, _)| random_rank(draw, &Place::Backend(b.name.clone())));
         let chosen = eligible
             .into_iter()
             .take(SAMPLED_ENGINES)
@@ -151,9 +151,9 @@
             && failed.is_none()
             && !self.counts_as_cold(now, &backend.name)
             && self.limit_wait(now, &backend.name, 0.0) == Some(Millis(0))
-            && !self.is_shunned(now, backend, job.ask.draw)
+            && !self.is_avoided(now, backend, job.ask.random)
             && !job.tried.contains(&place)
-            && !job.refuges.contains(&backend.name)
+            && !job.move_targets.contains(&backend.name)
     }
 
     /// Returns the free slots of `backend`, as far as this box knows, without those reserved for
@@ -161,7 +161,7 @@
     fn free_slots(&self, now: Time, backend: &Backend) -> u32 {
         let fresh = Server::default();
         let server = self.servers.get(&backend.name).unwrap_or(&fresh);
-        let others = self.table.busy(Short::of(backend.name.as_str()), now);
+        let others = self.table.busy(NameHash::of(backend.name.as_str()), now);
         let reserves = |job: &&Job| {
             let transfer = job.transfer.as_ref();
             transfer.is_some_and(|t| t.reserves(&backend.name))
@@ -178,7 +178,7 @@
         matches!(
             &self.stage,
             Stage::Sent {
-                spot: Spot::Chosen(Place::Backend(name), _),
+                spot: Assignment::Chosen(Place::Backend(name), _),
                 begun: Some(_),
                 ..
             } if name == source
--- a/src/reducer/moving/mod.rs
+++ b/src/reducer/moving/mod.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     fleet, id,
-    memory::moved::{Moved, Origin},
+    memory::transfer::{Handover, Origin},
     policy::{Place, Policy},
     reducer::{
         State,
-        effect::{Effect, End, Move},
+        effect::{Effect, Move, MoveOutcome},
         event::Cause,
         job::Stage,
     },
@@ -37,7 +37,7 @@
     /// Moves the most valuable runs off the engines of this region that leave.
     pub(super) fn move_runs(&mut self, now: Time, out: &mut Vec<Effect>) {
         let ending = self.fleet.ending();
-        let ending: Vec<(id::Backend, fleet::End)> = ending
+        let ending: Vec<(id::Backend, fleet::Shutdown)> = ending
             .filter(|(_, end)| end.at > now)
             .map(|(name, end)| (name.clone(), end))
             .collect();
@@ -57,7 +57,7 @@
         &mut self,
         now: Time,
         source: &id::Backend,
-        end: fleet::End,
+        end: fleet::Shutdown,
         out: &mut Vec<Effect>,
     ) {
         for request in self.runs_to_move(now, source, end.at) {
@@ -67,7 +67,7 @@
             let Some(job) = self.jobs.get_mut(&request) else {
                 continue;
             };
-            job.refuges.push(to.name.clone());
+            job.move_targets.push(to.name.clone());
             job.transfer = Some(Transfer::new(from, to, now));
             self.request_copy(now, request, out);
         }
@@ -112,7 +112,7 @@
         request: id::Request,
         attempt: id::Attempt,
         from: SocketAddr,
-        result: Moved,
+        result: Handover,
         out: &mut Vec<Effect>,
     ) {
         let current = self.in_hand(request, attempt).is_some();
@@ -125,7 +125,7 @@
                 address: from,
                 handle,
             };
-            out.extend(result.handle().map(origin).map(Effect::Free));
+            out.extend(result.handle().map(origin).map(Effect::FreeCopy));
             return;
         };
         let source = transfer.source.name.clone();
@@ -145,16 +145,16 @@
         &mut self,
         now: Time,
         request: id::Request,
-        result: Moved,
+        result: Handover,
         out: &mut Vec<Effect>,
     ) {
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
-        let Moved::Copied { handle, .. } = result else {
+        let Handover::Copied { handle, .. } = result else {
             let end = match result {
-                Moved::Absent => End::Ended,
-                _ => End::Refused,
+                Handover::Absent => MoveOutcome::Ended,
+                _ => MoveOutcome::Refused,
             };
             out.extend(job.end_transfer(request, end));
             return;
@@ -172,7 +172,7 @@
         now: Time,
         request: id::Request,
         stream: Stream,
-        result: Moved,
+        result: Handover,
         out: &mut Vec<Effect>,
     ) {
         let Some(job) = self.jobs.get_mut(&request) else {
@@ -183,26 +183,26 @@
         };
         let again = transfer.calls < MAX_CALLS;
         match (result, stream) {
-            (Moved::Copied { handle, .. }, _) => {
+            (Handover::Copied { handle, .. }, _) => {
                 transfer.handle = Some(handle);
                 self.resume(now, request, Destination::Target, out);
             }
-            (Moved::Kept(handle), _) => {
+            (Handover::Kept(handle), _) => {
                 transfer.handle = Some(handle);
                 // The source still has the whole memory, whereas the target may lack the newest
                 // part.
                 self.resume(now, request, Destination::Source, out);
             }
-            (Moved::Absent, Stream::Closed) => {
-                out.extend(job.end_transfer(request, End::Ended));
-                out.push(Effect::Close { request, attempt });
+            (Handover::Absent, Stream::Closed) => {
+                out.extend(job.end_transfer(request, MoveOutcome::Ended));
+                out.push(Effect::CompleteStream { request, attempt });
             }
-            (Moved::Absent, Stream::Open) => transfer.enter(Step::Ended, now),
-            (Moved::Busy | Moved::Lost | Moved::Refused, _) if again => {
+            (Handover::Absent, Stream::Open) => transfer.enter(Step::Ended, now),
+            (Handover::Busy | Handover::Lost | Handover::Refused, _) if again => {
                 transfer.enter(Step::StopPending(stream), now);
             }
             (_, Stream::Open) => transfer.enter(Step::Unknown, now),
-            (_, Stream::Cut | Stream::Closed) => {
+            (_, Stream::Broken | Stream::Closed) => {
                 transfer.enter(Step::Unknown, now);
                 self.fail_broken(now, request, attempt, out);
             }
@@ -289,7 +289,8 @@
         let mut ending = self.fleet.ending();
         let end = ending.find(|(name, _)| *name == source);
         !unavailable
-            && end.is_some_and(|(_, end)| now < end.at && now.since(end.heard) < RETURN_WINDOW)
+            && end
+                .is_some_and(|(_, end)| now < end.at && now.since(end.announced_at) < RETURN_WINDOW)
     }
 
     /// Fails a stopped run that cannot resume anywhere.
@@ -310,12 +311,12 @@
         out: &mut Vec<Effect>,
     ) {
         let verdict = Verdict::MayHaveRun;
-        self.failed(now, request, attempt, verdict, Cause::Broken, out);
+        self.on_attempt_failed(now, request, attempt, verdict, Cause::Broken, out);
     }
 
     /// Records that the connection of a stream ended while its run was to be stopped; returns false
     /// if no stop is pending or under way.
-    pub(super) fn await_move(
+    pub(super) fn defer_to_move(
         &mut self,
         request: id::Request,
         attempt: id::Attempt,
@@ -344,7 +345,7 @@
         attempt: id::Attempt,
         out: &mut Vec<Effect>,
     ) {
-        if self.await_move(request, attempt, Stream::Closed)
+        if self.defer_to_move(request, attempt, Stream::Closed)
             || self.in_hand(request, attempt).is_none()
         {
             return;
@@ -354,8 +355,8 @@
         };
         let ended = job.transfer.as_ref().is_some_and(|t| t.step == Step::Ended);
         if ended {
-            out.extend(job.end_transfer(request, End::Ended));
-            out.push(Effect::Close { request, attempt });
+            out.extend(job.end_transfer(request, MoveOutcome::Ended));
+            out.push(Effect::CompleteStream { request, attempt });
         } else {
             self.fail_broken(now, request, attempt, out);
         }
@@ -363,7 +364,7 @@
 
     /// Returns a run that the target did not accept to the source, which still has its memory,
     /// once.
-    pub(super) fn go_back(
+    pub(super) fn return_to_source(
         &mut self,
         now: Time,
         request: id::Request,
@@ -392,7 +393,7 @@
 
     /// Ends the move of a run that failed, and returns the verdict for the request. A request whose
     /// resumed attempt was refused has still run at the source.
-    pub(super) fn lose_copy(
+    pub(super) fn fail_move(
         &mut self,
         request: id::Request,
         verdict: Verdict,
@@ -406,8 +407,8 @@
         };
         let sent = matches!(transfer.step, Step::Sent(_));
         let end = match transfer.step {
-            Step::Copying | Step::StopPending(_) => End::Refused,
-            _ => End::Lost,
+            Step::Copying | Step::StopPending(_) => MoveOutcome::Refused,
+            _ => MoveOutcome::Lost,
         };
         out.extend(job.end_transfer(request, end));
         match sent {
--- a/src/reducer/moving/transfer.rs
+++ b/src/reducer/moving/transfer.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     id,
-    memory::moved::{Handle, Origin},
+    memory::transfer::{Handle, Origin},
     reducer::{
-        effect::{Carried, Effect, End, Site},
+        effect::{Effect, MoveOutcome, MoveReport, Site},
         job::{Job, Stage},
     },
     unit::Time,
@@ -15,7 +15,7 @@
 pub(in crate::reducer) enum Stream {
     Open,
     /// The connection broke.
-    Cut,
+    Broken,
     /// The connection closed, which may be the end of the answer.
     Closed,
 }
@@ -96,8 +96,8 @@
         })
     }
 
-    fn completion(&self, request: id::Request, tokens: u32, end: End) -> Effect {
-        Effect::Carried(Carried {
+    fn completion(&self, request: id::Request, tokens: u32, end: MoveOutcome) -> Effect {
+        Effect::MoveEnded(MoveReport {
             request,
             from: self.source.name.clone(),
             to: self.target.name.clone(),
@@ -109,11 +109,11 @@
     }
 
     /// Returns the outcome of a move whose request ends in the current step.
-    fn end(&self) -> End {
+    fn end(&self) -> MoveOutcome {
         match self.step {
-            Step::Copying | Step::StopPending(_) | Step::Stopping(_) => End::Left,
-            Step::Ended => End::Ended,
-            Step::Stopped(_) | Step::Sent(_) | Step::Unknown => End::Lost,
+            Step::Copying | Step::StopPending(_) | Step::Stopping(_) => MoveOutcome::Abandoned,
+            Step::Ended => MoveOutcome::Ended,
+            Step::Stopped(_) | Step::Sent(_) | Step::Unknown => MoveOutcome::Lost,
         }
     }
 }
@@ -138,7 +138,11 @@
     }
 
     /// Records that the answer continues; returns the effect that reports the completed move.
-    pub(in crate::reducer) fn arrive(&mut self, request: id::Request, now: Time) -> Option<Effect> {
+    pub(in crate::reducer) fn complete_move(
+        &mut self,
+        request: id::Request,
+        now: Time,
+    ) -> Option<Effect> {
         let sent = |t: &mut Transfer| matches!(t.step, Step::Sent(_));
         let mut transfer = self.transfer.take_if(sent)?;
         let Step::Sent(destination) = transfer.step else {
@@ -146,26 +150,26 @@
         };
         transfer.step_changed = now;
         let end = match destination {
-            Destination::Target => End::There,
-            Destination::Source => End::Back,
+            Destination::Target => MoveOutcome::Moved,
+            Destination::Source => MoveOutcome::Returned,
         };
         Some(transfer.completion(request, self.tokens(), end))
     }
 
     /// Frees the copy of a run that ends here. A copy still being made by a call in flight is freed
     /// when the call's result arrives.
-    pub(in crate::reducer) fn drop_copy(&mut self, request: id::Request) -> Vec<Effect> {
+    pub(in crate::reducer) fn free_copy(&mut self, request: id::Request) -> Vec<Effect> {
         let end = self.transfer.as_ref().map(Transfer::end);
         end.map_or(vec![], |end| self.end_transfer(request, end))
     }
 
     /// Ends the move with the outcome `end`, freeing its copy.
-    pub(super) fn end_transfer(&mut self, request: id::Request, end: End) -> Vec<Effect> {
+    pub(super) fn end_transfer(&mut self, request: id::Request, end: MoveOutcome) -> Vec<Effect> {
         let Some(transfer) = self.transfer.take() else {
             return vec![];
         };
         let report = transfer.completion(request, self.tokens(), end);
-        let free = transfer.origin().map(Effect::Free);
+        let free = transfer.origin().map(Effect::FreeCopy);
         free.into_iter().chain([report]).collect()
     }
 
@@ -178,7 +182,7 @@
     pub(super) fn attempt(&self) -> Option<id::Attempt> {
         match &self.stage {
             Stage::Sent { attempt, .. } => Some(*attempt),
-            Stage::Waiting | Stage::Joined(_) => None,
+            Stage::Waiting | Stage::AwaitingOwner(_) => None,
         }
     }
 }
--- a/src/reducer/naming.rs
+++ b/src/reducer/naming.rs
@@ -7,7 +7,7 @@
 //! change, because callers drop their connections to a box that is no longer listed.
 
 use crate::{
-    member::weight,
+    member::rendezvous_hash,
     policy::Policy,
     reducer::{State, effect::Entry},
     size::Room,
@@ -33,7 +33,7 @@
     /// Returns the boxes that a lookup lists, each repeated by its weight, out of the `boxes` of
     /// one region. The list is returned unchanged if all weights are equal.
     pub(super) fn weight_entries(&self, now: Time, boxes: Vec<Entry>) -> Vec<Entry> {
-        let usual = self.table.usual_weight(now);
+        let usual = self.table.median_weight(now);
         let candidate = |entry: Entry| {
             let room = self.table.room_of(&entry.contact);
             let weight = f64::from(room.weight.unwrap_or(usual).number());
@@ -55,7 +55,7 @@
             .collect();
         // Offsets differ between boxes, so that a box too small to be listed by all of them is
         // listed by some.
-        let offset = weight(&self.table.me.name, "naming") as f64 / u64::MAX as f64;
+        let offset = rendezvous_hash(&self.table.me.name, "naming") as f64 / u64::MAX as f64;
         let counts = count_points(&lengths, offset);
         let repeat =
             |(candidate, count): (Candidate, usize)| std::iter::repeat_n(candidate.entry, count);
--- a/src/reducer/news.rs
+++ b/src/reducer/news.rs
@@ -19,7 +19,7 @@
         effect::{Effect, Follow},
     },
     unit::{Millis, Time},
-    wire::{Body, News, Phase, Word},
+    wire::{Body, Phase, Progress, StoreUpdate},
 };
 
 /// Maximum age of a hub's last answer from the store. A hub asks the store every second, and a box
@@ -51,7 +51,7 @@
 
     fn follow_mode(&self, now: Time) -> Follow {
         if !self.table.has_hubs() {
-            return Follow::Alone;
+            return Follow::Direct;
         }
         let ready = self.phase(now) == Phase::Ready;
         if self.table.hubs(ready, now).mine {
@@ -59,14 +59,14 @@
         }
         let fresh = |at: Time| now.since(at) <= MAX_HUB_REPORT_AGE;
         match self.control.hub_heard_store.is_some_and(fresh) {
-            true => Follow::Rest,
-            false => Follow::Alone,
+            true => Follow::Forwarded,
+            false => Follow::Direct,
         }
     }
 
     /// Records a change from the store for the boxes that don't follow it. Every box records them,
     /// since it may be a hub by the end of the batch; each end of a batch clears the record.
-    pub(super) fn gather(&mut self, change: &Change) {
+    pub(super) fn queue_store_change(&mut self, change: &Change) {
         match change {
             Change::List { .. } => self.control.pending_changes.has_list = true,
             change => self.control.pending_changes.changes.push(change.clone()),
@@ -74,20 +74,25 @@
     }
 
     /// As a hub, forwards the store's changes up to `until`.
-    pub(super) fn pass_news(&mut self, now: Time, until: Revision, out: &mut Vec<Effect>) {
+    pub(super) fn forward_store_changes(
+        &mut self,
+        now: Time,
+        until: Revision,
+        out: &mut Vec<Effect>,
+    ) {
         let pending_changes = std::mem::take(&mut self.control.pending_changes);
         if self.control.follow != Follow::Hub || until <= self.revision {
             return;
         }
-        let update = News {
+        let update = StoreUpdate {
             since: (!pending_changes.has_list).then_some(self.revision),
             until,
             changes: pending_changes.changes,
             evacuated: self.control.evacuations.reported.clone(),
-            rollouts: self.rollouts.tell(now),
+            rollouts: self.rollouts.stored_entries(now),
         };
-        let targets = self.table.neighbours(now);
-        self.send_all(Body::News(update), targets, out);
+        let targets = self.table.domain_peers(now);
+        self.send_all(Body::StoreUpdate(update), targets, out);
     }
 
     /// Applies changes forwarded by a hub.
@@ -95,7 +100,7 @@
         &mut self,
         now: Time,
         from: &BoxName,
-        update: &News,
+        update: &StoreUpdate,
         out: &mut Vec<Effect>,
     ) {
         if update.until <= self.revision {
@@ -103,24 +108,24 @@
         }
         let same_era = update.until.era == self.revision.era;
         let complete = same_era && update.since.is_some_and(|since| since <= self.revision);
-        if !self.supplied || !complete {
+        if !self.has_fleet_list || !complete {
             return self.fetch_missed_changes(now, from, out);
         }
         if update.evacuated != self.control.evacuations.reported {
-            self.evacuate(now, update.evacuated.clone(), out);
+            self.set_evacuated(now, update.evacuated.clone(), out);
         }
         // An order must be known before the servers that were started for it.
-        self.take_rollouts(now, &update.rollouts, out);
+        self.apply_rollouts(now, &update.rollouts, out);
         for change in &update.changes {
-            self.supplied(now, change.clone(), update.until, out);
+            self.apply_fleet_change(now, change.clone(), update.until, out);
         }
         self.revision = update.until;
     }
 
     /// Returns the store revision that this box knows, and the age of the store's last answer.
-    pub(super) fn store_progress(&self, now: Time) -> Option<Word> {
+    pub(super) fn store_progress(&self, now: Time) -> Option<Progress> {
         let heard_at = self.control.store_answered?;
-        Some(Word {
+        Some(Progress {
             revision: self.revision,
             age: now.since(heard_at),
         })
@@ -131,13 +136,13 @@
         &mut self,
         now: Time,
         from: &BoxName,
-        progress: Word,
+        progress: Progress,
         out: &mut Vec<Effect>,
     ) {
         let heard_at = Time(now.0.saturating_sub(progress.age.0));
         self.control.hub_heard_store = self.control.hub_heard_store.max(Some(heard_at));
         self.store_heard = self.store_heard.max(Some(heard_at));
-        if progress.revision > self.revision && self.control.follow == Follow::Rest {
+        if progress.revision > self.revision && self.control.follow == Follow::Forwarded {
             self.fetch_missed_changes(now, from, out);
         }
     }
--- a/src/reducer/order.rs
+++ b/src/reducer/order.rs
@@ -15,7 +15,7 @@
 
 /// A roll-out as requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The service.
     pub service: Service,
     /// The release to roll out.
@@ -30,13 +30,13 @@
     /// The order leaves no time to watch the release.
     NoTime,
     /// No server of the release serves the service.
-    NoServer(Ask),
+    NoServer(Request),
     /// The service runs the release already.
-    Running(Ask),
+    Running(Request),
     /// Another order is open.
     Open(Release),
     /// No server of the release is ready.
-    NotReady(Ask),
+    NotReady(Request),
     /// The ready servers are in regions where no request of the service may run.
     Unreached(BTreeSet<Region>),
     /// The service is served in regions where no server of the release is ready.
@@ -52,7 +52,7 @@
         match self {
             Self::NoTime => f.write_str("the order leaves no time to watch the release"),
             Self::NoServer(ask) => {
-                let Ask {
+                let Request {
                     service, release, ..
                 } = ask;
                 write!(f, "no backend server of {release} serves {service}")
@@ -82,7 +82,7 @@
 }
 
 /// Refuses `ask` if `entry`, as stored, has an open order or was completed with this release.
-pub fn check_standing(entry: Option<&Entry>, ask: &Ask) -> Result<(), Refusal> {
+pub fn check_open_order(entry: Option<&Entry>, ask: &Request) -> Result<(), Refusal> {
     let Some((entry, order)) = entry.and_then(|e| Some((e, e.order.as_ref()?))) else {
         return Ok(());
     };
@@ -125,7 +125,7 @@
     }
 
     /// Refuses `ask` if it cannot succeed. `closed` holds the addresses at which nothing listens.
-    pub fn check(&self, ask: &Ask, closed: &BTreeSet<SocketAddr>) -> Result<(), Refusal> {
+    pub fn check(&self, ask: &Request, closed: &BTreeSet<SocketAddr>) -> Result<(), Refusal> {
         if ask.within == Millis(0) {
             return Err(Refusal::NoTime);
         }
--- a/src/reducer/outcome.rs
+++ b/src/reducer/outcome.rs
@@ -8,7 +8,7 @@
         State,
         effect::{Effect, Note, Reply},
         event::Cause,
-        job::{SOON, Spot, Stage},
+        job::{Assignment, DEFAULT_RETRY_AFTER, Stage},
         key::key_phase,
         moving::Stream,
         repeat::RetryKind,
@@ -20,7 +20,7 @@
 
 /// The state of an attempt in flight: where it runs, and what was reserved for it.
 pub(super) struct InFlight {
-    pub(super) spot: Spot,
+    pub(super) spot: Assignment,
     pub(super) at: Time,
     pub(super) work: u32,
     pub(super) expected: Millis,
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn begun(
+    pub(super) fn on_answer_started(
         &mut self,
         now: Time,
         request: id::Request,
@@ -70,7 +70,7 @@
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
-        if let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot
+        if let Assignment::Chosen(Place::Backend(name), _) = &in_flight.spot
             && let Some(server) = self.servers.get_mut(name)
             && server.begin(
                 now.since(in_flight.at),
@@ -79,18 +79,18 @@
                 now,
             )
         {
-            out.push(Effect::Noted(Note::Regained(name.clone())));
+            out.push(Effect::Noted(Note::Recovered(name.clone())));
         }
         if let Stage::Sent { begun, .. } = &mut job.stage {
             *begun = Some(now);
         }
-        out.extend(job.arrive(request, now));
-        if !job.bounded {
+        out.extend(job.complete_move(request, now));
+        if !job.deadline_covers_answer {
             self.deadlines.remove(&(job.deadline, request));
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Time,
         request: id::Request,
@@ -112,7 +112,7 @@
         let Some(mut job) = self.jobs.remove(&request) else {
             return;
         };
-        out.extend(job.drop_copy(request));
+        out.extend(job.free_copy(request));
         if whole {
             self.clear_content(now, job.content, out);
         }
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn on_attempt_failed(
         &mut self,
         now: Time,
         request: id::Request,
@@ -170,20 +170,20 @@
         let spot = in_flight.spot;
         self.judge_failed(request, &spot, cause);
         self.record_failure(now, &spot, cause);
-        if self.go_back(now, request, verdict, out) {
+        if self.return_to_source(now, request, verdict, out) {
             return;
         }
-        let verdict = self.lose_copy(request, verdict, out);
+        let verdict = self.fail_move(request, verdict, out);
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
         if verdict.is_not_run() {
-            job.unspend();
+            job.release_charge();
         } else {
             job.count_run(&spot);
         }
         // A relayed request may succeed at another backend server of that region.
-        let relayed = matches!(spot, Spot::Chosen(Place::Region(_), _));
+        let relayed = matches!(spot, Assignment::Chosen(Place::Region(_), _));
         let retry_same_region = relayed && cause == Cause::Broken;
         // A stream that this box moved off its backend server is always given another attempt.
         let owed = job.moved && verdict.is_not_run();
@@ -195,7 +195,8 @@
         job.stage = Stage::Waiting;
         let may_rerun = job.repeatable || !job.may_have_run;
         let has_runs_left = job.runs > 0 && (owed || job.attempts < retry::MAX_ATTEMPTS);
-        let may_retry = may_rerun && has_runs_left && spot != Spot::Pinned && now < job.deadline;
+        let may_retry =
+            may_rerun && has_runs_left && spot != Assignment::Pinned && now < job.deadline;
         let (service, known) = (job.service.clone(), job.verdict());
         let kind = match (cause.may_have_arrived(), owed) {
             (false, _) => RetryKind::Free,
@@ -203,7 +204,7 @@
             (true, false) => RetryKind::Ordinary,
         };
         if may_retry && self.take_retry(now, request, &service, kind, out) {
-            if !self.place(now, request, out) {
+            if !self.try_place(now, request, out) {
                 self.enqueue(request, out);
             }
         } else {
@@ -215,14 +216,14 @@
 
     /// Handles a stream that was cut: waits for its move to another engine if one is under way, and
     /// otherwise fails the attempt if its answer had begun.
-    pub(super) fn broke(
+    pub(super) fn on_stream_cut(
         &mut self,
         now: Time,
         request: id::Request,
         attempt: id::Attempt,
         out: &mut Vec<Effect>,
     ) {
-        if self.await_move(request, attempt, Stream::Cut) {
+        if self.defer_to_move(request, attempt, Stream::Broken) {
             return;
         }
         if self
@@ -230,7 +231,7 @@
             .is_some_and(|in_flight| in_flight.has_begun())
         {
             let verdict = Verdict::MayHaveRun;
-            self.failed(now, request, attempt, verdict, Cause::Broken, out);
+            self.on_attempt_failed(now, request, attempt, verdict, Cause::Broken, out);
         }
     }
 
@@ -238,54 +239,79 @@
     /// answer, `None` for any other end.
     pub(super) fn release(&mut self, in_flight: &InFlight, took: Option<Millis>) {
         match &in_flight.spot {
-            Spot::Chosen(Place::Backend(name), _) => {
+            Assignment::Chosen(Place::Backend(name), _) => {
                 if let Some(server) = self.servers.get_mut(name) {
                     if !in_flight.has_begun() {
-                        server.withdraw(in_flight.work);
+                        server.cancel_pending_prompt(in_flight.work);
                     }
                     server.end(took);
                 }
             }
-            Spot::Chosen(Place::Region(region), _) => self.table.relay_ended(region, in_flight.at),
-            Spot::Pinned => {}
+            Assignment::Chosen(Place::Region(region), _) => {
+                self.table.relay_ended(region, in_flight.at)
+            }
+            Assignment::Pinned => {}
         }
     }
 
-    pub(super) fn record_failure(&mut self, now: Time, spot: &Spot, cause: Cause) {
+    pub(super) fn record_failure(&mut self, now: Time, spot: &Assignment, cause: Cause) {
         match (spot, cause) {
-            (_, Cause::Late) | (Spot::Pinned, _) => {}
-            (Spot::Chosen(Place::Backend(name), _), Cause::Refused | Cause::Replaced) => {
-                self.servers.entry(name.clone()).or_default().refuse(now);
+            (_, Cause::Late) | (Assignment::Pinned, _) => {}
+            (Assignment::Chosen(Place::Backend(name), _), Cause::Refused | Cause::Replaced) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_refusal(now);
             }
-            (Spot::Chosen(Place::Backend(name), _), Cause::Full) => {
-                self.servers.entry(name.clone()).or_default().fill(now);
+            (Assignment::Chosen(Place::Backend(name), _), Cause::Full) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_full(now);
             }
-            (Spot::Chosen(Place::Backend(name), _), Cause::Errored) => {
-                self.servers.entry(name.clone()).or_default().err(now);
+            (Assignment::Chosen(Place::Backend(name), _), Cause::Errored) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_error(now);
             }
-            (Spot::Chosen(Place::Backend(name), _), Cause::Unreachable) => {
-                self.servers.entry(name.clone()).or_default().miss(now);
+            (Assignment::Chosen(Place::Backend(name), _), Cause::Unreachable) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_unreachable(now);
             }
-            (Spot::Chosen(Place::Backend(name), _), Cause::Silent) => {
-                self.servers.entry(name.clone()).or_default().stall(now);
+            (Assignment::Chosen(Place::Backend(name), _), Cause::Silent) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_stall(now);
             }
-            (Spot::Chosen(Place::Backend(name), _), _) => {
-                self.servers.entry(name.clone()).or_default().fail(now);
+            (Assignment::Chosen(Place::Backend(name), _), _) => {
+                self.servers
+                    .entry(name.clone())
+                    .or_default()
+                    .record_failure(now);
             }
             (
-                Spot::Chosen(Place::Region(region), Some(door)),
+                Assignment::Chosen(Place::Region(region), Some(door)),
                 Cause::Unreachable | Cause::Leaving,
             ) => {
-                self.table.lose_door(region, door);
+                self.table.remove_endpoint(region, door);
             }
-            (Spot::Chosen(Place::Region(region), _), Cause::Refused) => {
+            (Assignment::Chosen(Place::Region(region), _), Cause::Refused) => {
                 self.table.relay_refused(region, now);
             }
-            (Spot::Chosen(Place::Region(_), _), _) => {}
+            (Assignment::Chosen(Place::Region(_), _), _) => {}
         }
     }
 
-    pub(super) fn gone(&mut self, now: Time, request: id::Request, out: &mut Vec<Effect>) {
+    pub(super) fn on_disconnected(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(job) = self.jobs.get(&request) else {
             return;
         };
@@ -296,7 +322,7 @@
         let Some(mut job) = self.jobs.remove(&request) else {
             return;
         };
-        out.extend(job.drop_copy(request));
+        out.extend(job.free_copy(request));
         self.give_back(&job);
         self.deadlines.remove(&(job.deadline, request));
         if job.owns_key {
@@ -320,7 +346,7 @@
         };
         match job.stage.clone() {
             Stage::Waiting => {
-                let spot = job.spot();
+                let spot = job.queue_position();
                 self.queue.remove(&spot, request);
                 self.late.remove(&spot, request);
             }
@@ -330,7 +356,7 @@
                     self.release(&in_flight, None);
                 }
             }
-            Stage::Joined(owner) => self.ledger.leave(owner, request),
+            Stage::AwaitingOwner(owner) => self.ledger.remove_joiner(owner, request),
         }
     }
 
@@ -339,7 +365,7 @@
         let Some(mut job) = self.jobs.remove(&request) else {
             return;
         };
-        out.extend(job.drop_copy(request));
+        out.extend(job.free_copy(request));
         self.give_back(&job);
         self.deadlines.remove(&(job.deadline, request));
         let reply = Reply {
@@ -379,20 +405,20 @@
         let (status, verdict, reason) = match job.stage {
             Stage::Waiting => (503, verdict, "no slot was free in time"),
             Stage::Sent { .. } => (504, Verdict::MayHaveRun, "the answer did not begin in time"),
-            Stage::Joined(_) => {
+            Stage::AwaitingOwner(_) => {
                 let reason = "the first send of this key is still running";
                 (504, Verdict::MayHaveRun, reason)
             }
         };
         self.withdraw(request, out);
-        let reply = Reply::new(status, verdict, reason).after(SOON);
+        let reply = Reply::new(status, verdict, reason).with_retry_after(DEFAULT_RETRY_AFTER);
         self.finish(request, reply, out);
         self.drain(now, &service, out);
     }
 }
 
-pub(super) fn failure_reply(spot: &Spot, verdict: Verdict, cause: Cause) -> Reply {
-    if *spot == Spot::Pinned {
+pub(super) fn failure_reply(spot: &Assignment, verdict: Verdict, cause: Cause) -> Reply {
+    if *spot == Assignment::Pinned {
         let reason = "the box that the key names does not answer";
         return Reply::new(409, Verdict::MayHaveRun, reason);
     }
@@ -408,5 +434,5 @@
         Cause::Replaced => "the place is another backend server by now",
     };
     let status = if verdict.is_not_run() { 503 } else { 502 };
-    Reply::new(status, verdict, reason).after(SOON)
+    Reply::new(status, verdict, reason).with_retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/src/reducer/place.rs
+++ b/src/reducer/place.rs
@@ -17,9 +17,9 @@
         job::Job,
         supply::Supply,
     },
-    server::{Bar, Server},
+    server::{Block, Server},
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 /// Backend servers sampled for each request. With two, the less busy one gets at most twice its
@@ -31,7 +31,7 @@
 
 /// The request to be placed, with its plan and configuration.
 #[derive(Clone, Copy)]
-pub(super) struct Wish<'a> {
+pub(super) struct Query<'a> {
     pub(super) now: Time,
     pub(super) config: &'a Config,
     pub(super) plan: &'a Plan<'a>,
@@ -55,11 +55,11 @@
     Evacuated,
     /// A roll-out withholds requests from its release.
     Release,
-    Barred(Bar),
+    Barred(Block),
 }
 
 /// Returns a pseudo-random number that is fixed for each pair of request and place.
-pub(super) fn drawn(draw: u64, place: &Place) -> u64 {
+pub(super) fn random_rank(draw: u64, place: &Place) -> u64 {
     let name = match place {
         Place::Backend(name) => name.as_str(),
         Place::Region(region) => region.as_str(),
@@ -71,7 +71,7 @@
     /// Returns the inputs of the decision for `place` among the candidates.
     pub(super) fn basis(&self, now: Time, job: &Job, place: &Place, among: &[Candidate]) -> Basis {
         let chosen = among.iter().find(|c| c.place == *place);
-        let ages = self.table.live(now).map(|peer| now.since(peer.heard));
+        let ages = self.table.live(now).map(|peer| now.since(peer.received_at));
         Basis {
             version: self.version(),
             number: job.attempts + 1,
@@ -82,7 +82,7 @@
             burden: chosen.map_or(Millis(0), |c| c.burden),
             free: chosen.map_or(0, |c| c.free),
             age: ages.max().unwrap_or_default(),
-            waited: now.since(job.came),
+            waited: now.since(job.arrived_at),
             target: job.target.unwrap_or_default(),
             prompt: job.prompt.as_ref().map_or(0, |prompt| prompt.tokens),
             shared: job.prompt.as_ref().map_or(0, Prompt::shared),
@@ -90,7 +90,7 @@
             unread: 0,
             fetched: 0,
             told: match place {
-                Place::Backend(name) => self.cache.is_told(Short::of(name.as_str()), now),
+                Place::Backend(name) => self.cache.has_reports(NameHash::of(name.as_str()), now),
                 Place::Region(_) => false,
             },
             cold: match place {
@@ -111,16 +111,16 @@
         let config = self.config.as_ref().ok_or(Refusal::NoRegion)?;
         let plan = config.plan(&job.ask)?;
         let mine = &self.table.me.region;
-        let wish = Wish {
+        let wish = Query {
             now,
             config,
             plan: &plan,
             job,
             home: plan.customer.home.as_ref().unwrap_or(mine),
         };
-        if let Some(few) = self.few(&wish) {
+        if let Some(few) = self.sampled_backends(&wish) {
             let decision = self.choose(&wish, few);
-            if decision.is_easy() {
+            if decision.needs_no_full_scan() {
                 return Ok(decision);
             }
         }
@@ -131,17 +131,18 @@
     /// Lets the policy choose among `servers` of this region and the other regions.
     fn choose<'a>(
         &self,
-        wish: &Wish<'_>,
+        wish: &Query<'_>,
         servers: impl IntoIterator<Item = &'a Backend>,
     ) -> Decision {
         let mine = &self.table.me.region;
         let mut candidates = Vec::new();
-        if wish.plan.permits(mine) {
+        if wish.plan.permits_region(mine) {
             self.collect_candidates(wish, servers, &mut candidates);
         }
         if wish.job.hop == Hop::Direct {
             let remote = self.table.reachable(wish.now);
-            let remote = remote.filter(|(region, _)| *region != mine && wish.plan.permits(region));
+            let remote =
+                remote.filter(|(region, _)| *region != mine && wish.plan.permits_region(region));
             candidates.extend(
                 remote.filter_map(|(region, remote)| self.remote_candidate(wish, region, remote)),
             );
@@ -158,11 +159,11 @@
     /// Collects candidates from those of `servers` that may run the request now.
     fn collect_candidates<'a>(
         &self,
-        wish: &Wish<'_>,
+        wish: &Query<'_>,
         servers: impl IntoIterator<Item = &'a Backend>,
         found: &mut Vec<Candidate>,
     ) {
-        let Wish {
+        let Query {
             now,
             config,
             plan,
@@ -172,14 +173,14 @@
         let mine = &self.table.me.region;
         let usable: Vec<&Backend> = servers
             .into_iter()
-            .filter(|b| plan.allows(b))
+            .filter(|b| plan.permits_backend(b))
             .filter(|b| self.excluded(now, b).is_none())
             .filter(|b| self.admits(now, config, &plan.service, b))
             .filter(|b| self.limit_wait(now, &b.name, 0.0).is_some())
             .filter(|b| !job.tried.contains(&Place::Backend(b.name.clone())))
-            .filter(|b| !self.is_shunned(now, b, job.ask.draw))
+            .filter(|b| !self.is_avoided(now, b, job.ask.random))
             .collect();
-        let usable = self.lane(now, &plan.service, job, usable);
+        let usable = self.rollout_candidates(now, &plan.service, job, usable);
         let shared = job.prompt.as_ref().and_then(Prompt::key);
         let prefix = shared.map_or(job.prefix, |part| part.id);
         let affinity = |b: &&&Backend| {
@@ -190,7 +191,7 @@
         let boxes = self.table.ready(now).count() + 1;
         let ahead = match job.position {
             Some(position) => position,
-            None => self.queue.ahead(&job.spot()),
+            None => self.queue.ahead(&job.queue_position()),
         };
         let queued_ahead = ahead * boxes / usable.len().max(1);
         // The shares of rate limits, and hence the requests that wait for them, are this box's own.
@@ -201,7 +202,7 @@
         for backend in &usable {
             let server = self.servers.get(&backend.name).unwrap_or(&fresh);
             let slots = server.slots(backend.slots, now);
-            let busy = server.busy + self.table.busy(Short::of(backend.name.as_str()), now);
+            let busy = server.busy + self.table.busy(NameHash::of(backend.name.as_str()), now);
             // The load reports of other boxes are old, so each box may always use its own share.
             let share = (slots / boxes as u32).max(1);
             let free = slots
@@ -220,11 +221,11 @@
             let owner = preferred.as_ref() == Some(&backend.name);
             let (first, burden) = match &job.prompt {
                 Some(prompt) => {
-                    let short = Short::of(backend.name.as_str());
+                    let short = NameHash::of(backend.name.as_str());
                     let unread = self.cache.unread(prompt, short, memory, now);
                     let supply = Supply::of(sources.as_ref(), backend, unread, server);
                     let first = server.first_token(supply.read, now) + supply.span;
-                    let batch = Batch::at(server, busy, plan.gap(), now);
+                    let batch = Batch::at(server, busy, plan.max_event_gap(), now);
                     let burden = estimate::burden(prompt, supply.read, server, batch);
                     let burden = burden + estimate::transfer_cost(&supply);
                     (
@@ -255,11 +256,11 @@
 
     fn remote_candidate(
         &self,
-        wish: &Wish<'_>,
+        wish: &Query<'_>,
         region: &Region,
         remote: &Remote,
     ) -> Option<Candidate> {
-        let Wish {
+        let Query {
             now,
             config,
             plan,
@@ -267,15 +268,15 @@
             home,
         } = *wish;
         let place = Place::Region(region.clone());
-        let closed = remote.digest.doors.is_empty() || now < remote.cool_until;
+        let closed = remote.digest.endpoints.is_empty() || now < remote.backoff_until;
         if closed || job.tried.contains(&place) {
             return None;
         }
-        let usable = |b: &&Backend| plan.allows(b) && !self.leaving(b);
-        let servers = self.some_there(wish, region).into_iter();
+        let usable = |b: &&Backend| plan.permits_backend(b) && !self.leaving(b);
+        let servers = self.remote_sample(wish, region).into_iter();
         let usable: Vec<&Backend> = servers.filter(usable).collect();
         let price = usable.iter().map(|b| b.price).reduce(f64::min)?;
-        let short = Short::of(plan.service.as_str());
+        let short = NameHash::of(plan.service.as_str());
         let capacity = remote.digest.services.iter().find(|c| c.service == short)?;
         let (first, burden) = self.remote_prompt_cost(wish, &usable, capacity);
         let hop = config.hop(&self.table.me.region, region);
@@ -316,7 +317,8 @@
     ) {
         let long = job.prompt.as_ref().and_then(Prompt::longest);
         // Long prompts are reported to other boxes at once, and cached parts decide where they go.
-        if !self.table.knows_usages(now) || long.is_some_and(|part| part.tokens >= cache::LONG) {
+        if !self.table.has_fresh_usages(now) || long.is_some_and(|part| part.tokens >= cache::LONG)
+        {
             return;
         }
         let shared = job.prompt.as_ref().map_or(0, Prompt::shared);
@@ -324,7 +326,7 @@
         let is_owner = |place: &Place| matches!(place, Place::Backend(name) if Some(name) == owner);
         let open = found.iter_mut().filter(|c| c.free > 0);
         let mut open: Vec<&mut Candidate> = open.filter(|c| !is_owner(&c.place)).collect();
-        open.sort_by_key(|c| drawn(job.ask.draw, &c.place));
+        open.sort_by_key(|c| random_rank(job.ask.random, &c.place));
         for candidate in open.into_iter().skip(SAMPLED) {
             candidate.risk = Millis(candidate.step.0 * UNSAMPLED_PENALTY);
         }
@@ -359,7 +361,7 @@
         if self.rollouts.bars(backend, now) || self.awaits_order(backend) {
             return Some(Exclusion::Release);
         }
-        let bar = self.servers.get(&backend.name)?.bar(now)?;
+        let bar = self.servers.get(&backend.name)?.block(now)?;
         Some(Exclusion::Barred(bar))
     }
 }
--- a/src/reducer/pushback.rs
+++ b/src/reducer/pushback.rs
@@ -3,25 +3,25 @@
 use crate::{
     id::{self, Incarnation},
     policy::Policy,
-    pushback::Word,
+    pushback::Pushback,
     reducer::{
         State,
         effect::{Effect, Note},
         job::Job,
         place::Exclusion,
     },
-    server::Bar,
+    server::Block,
     unit::{Millis, Time},
 };
 
 impl<P: Policy> State<P> {
     /// Records the pause that a backend server asked for when it refused a request.
-    pub(super) fn hear_pushback(
+    pub(super) fn record_pushback(
         &mut self,
         now: Time,
         name: &id::Backend,
         incarnation: Option<Incarnation>,
-        word: Word,
+        word: Pushback,
         out: &mut Vec<Effect>,
     ) {
         let known = self.fleet.get(name);
@@ -30,11 +30,11 @@
         }
         let server = self.servers.entry(name.clone()).or_default();
         let span = match word {
-            Word::Silent => return,
-            Word::Span(span) if !server.push_back(span, now) => return,
-            Word::Span(span) => Some(span),
-            Word::Unreadable if !server.push_back_oddly() => return,
-            Word::Unreadable => None,
+            Pushback::Absent => return,
+            Pushback::Pause(span) if !server.push_back(span, now) => return,
+            Pushback::Pause(span) => Some(span),
+            Pushback::Unreadable if !server.record_unreadable_pushback() => return,
+            Pushback::Unreadable => None,
         };
         let backend = name.clone();
         out.push(Effect::Noted(Note::PushedBack { backend, span }));
@@ -45,15 +45,17 @@
     pub(super) fn pushback_left(&self, now: Time, job: &Job) -> Option<Millis> {
         let plan = self.config.as_ref()?.plan(&job.ask).ok()?;
         let mine = &self.table.me.region;
-        if !plan.permits(mine) {
+        if !plan.permits_region(mine) {
             return None;
         }
         let mut soonest = None;
         let here = self.fleet.serving(&plan.service, mine);
-        for backend in here.filter(|backend| plan.allows(backend)) {
+        for backend in here.filter(|backend| plan.permits_backend(backend)) {
             match self.excluded(now, backend) {
-                None | Some(Exclusion::Barred(Bar::Broken | Bar::Refusing)) => return None,
-                Some(Exclusion::Barred(Bar::PushedBack)) => {
+                None | Some(Exclusion::Barred(Block::BreakerOpen | Block::Refusing)) => {
+                    return None;
+                }
+                Some(Exclusion::Barred(Block::PushedBack)) => {
                     let left = self.servers.get(&backend.name)?.pushback_left(now);
                     soonest = Some(soonest.map_or(left, |soonest: Millis| soonest.min(left)));
                 }
--- a/src/reducer/reading.rs
+++ b/src/reducer/reading.rs
@@ -12,7 +12,7 @@
     policy::{Place, Policy},
     reducer::{State, effect::Effect, job::Job, supply::Supply},
     unit::Time,
-    wire::{Body, Frame, Holding, Reading, Short},
+    wire::{Body, Frame, Holding, NameHash, Reading},
 };
 
 /// Cached parts that a new box is told of: about 8 KB.
@@ -26,7 +26,7 @@
         };
         let part = prompt.longest().filter(|part| part.tokens >= cache::LONG);
         Some(Reading {
-            backend: Short::of(name.as_str()),
+            backend: NameHash::of(name.as_str()),
             prompt: prompt.tokens,
             tokens: supply.read,
             fetched: supply.fetched,
@@ -46,7 +46,7 @@
 
     /// Broadcasts that a backend server of this region begins to read a long prompt.
     fn broadcast_reading(&mut self, reading: Reading, out: &mut Vec<Effect>, now: Time) {
-        for (to, spread) in self.everyone(now) {
+        for (to, spread) in self.broadcast_targets(now) {
             let frame = self.frame(Body::Reading(Reading { spread, ..reading }));
             out.push(Effect::Gossip { to, frame });
         }
@@ -64,7 +64,7 @@
         self.record_reading(now, reading);
         if let Some(name) = self.fleet.long(reading.backend).cloned() {
             let server = self.servers.entry(name).or_default();
-            server.hear(reading.tokens, now);
+            server.add_pending_prompt(reading.tokens, now);
             server.add_prompt(reading.prompt, now);
         }
         if reading.spread {
@@ -72,7 +72,7 @@
                 spread: false,
                 ..reading
             });
-            self.pass_on(now, frame, body, out);
+            self.forward(now, frame, body, out);
         }
     }
 
@@ -95,7 +95,7 @@
         name: &BoxName,
         out: &mut Vec<Effect>,
     ) {
-        if self.table.is_first("holdings", name, now) {
+        if self.table.leads_except("holdings", name, now) {
             let holdings = self.cache.holdings(MAX_HOLDINGS);
             let frame = self.frame(Body::Holdings(holdings));
             out.push(Effect::Gossip { to, frame });
@@ -105,7 +105,7 @@
     /// Records the cached parts that another box knows.
     pub(super) fn learn_holdings(&mut self, now: Time, holdings: &[Holding]) {
         for holding in holdings {
-            self.cache.learn(*holding, now);
+            self.cache.add_reported(*holding, now);
         }
     }
 }
--- a/src/reducer/rollout.rs
+++ b/src/reducer/rollout.rs
@@ -24,9 +24,9 @@
         status,
         watch::{EXPOSURE_PERIOD, TrafficMode, Watch, apply_entry},
     },
-    rollout::{Entry, Exposure, Pool, Standing, Typical, Verdict},
+    rollout::{Baseline, Entry, Exposure, Pool, Standing, Verdict},
     unit::{Millis, Time},
-    wire::{Short, Trial},
+    wire::{NameHash, Trial},
 };
 
 /// Time between two checks of the roll-outs.
@@ -41,7 +41,7 @@
 pub(super) struct Rollouts {
     pub(super) exposure: Exposure,
     pub(super) watches: BTreeMap<Service, Watch>,
-    pub(super) typical: HashMap<TimingKey, Typical>,
+    pub(super) typical: HashMap<TimingKey, Baseline>,
     /// The service and route of attempts that broke at servers which are being probed.
     pub(super) broken: HashMap<id::Backend, Vec<(Service, Service)>>,
     last_check: Option<Time>,
@@ -67,7 +67,7 @@
     }
 
     /// Returns the stored state of all roll-outs, as sent to other boxes.
-    pub(super) fn tell(&self, now: Time) -> fleet::Rollouts {
+    pub(super) fn stored_entries(&self, now: Time) -> fleet::Rollouts {
         let entry = |watch: &Watch| Entry {
             age: now.since(watch.since),
             ..watch.entry.clone()
@@ -78,7 +78,7 @@
     }
 
     /// Returns the answers counted for open roll-outs, as sent to other boxes.
-    pub(super) fn told(&self, now: Time) -> Vec<Trial> {
+    pub(super) fn observed_trials(&self, now: Time) -> Vec<Trial> {
         let open = self.open().flat_map(|(_, watch)| {
             let age = now.since(watch.since);
             watch.trials.values().map(move |t| Trial { age, ..*t })
@@ -122,7 +122,7 @@
     }
 
     /// Applies the roll-outs received from the store or from another box.
-    pub(super) fn take_rollouts(
+    pub(super) fn apply_rollouts(
         &mut self,
         now: Time,
         received: &fleet::Rollouts,
@@ -152,11 +152,11 @@
 
     /// Accepts the roll-outs from an outdated copy of the store that were not written again in the
     /// meantime.
-    pub(super) fn take_copied_rollouts(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn confirm_rollouts(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.is_restored(now)
             && let Some(received) = self.rollouts.unconfirmed.take()
         {
-            self.take_rollouts(now, &received, out);
+            self.apply_rollouts(now, &received, out);
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Returns the servers among `usable` to which a roll-out lets this request go.
-    pub(super) fn lane<'a>(
+    pub(super) fn rollout_candidates<'a>(
         &self,
         now: Time,
         service: &Service,
@@ -192,7 +192,7 @@
         let free = |b: &&Backend| {
             let server = self.servers.get(&b.name);
             let slots = server.map_or(b.slots, |s| s.slots(b.slots, now));
-            let elsewhere = self.table.busy(Short::of(b.name.as_str()), now);
+            let elsewhere = self.table.busy(NameHash::of(b.name.as_str()), now);
             server.map_or(0, |s| s.busy) + elsewhere < slots
         };
         let is_new = |b: &&&Backend| watch.is_new(b);
@@ -253,7 +253,7 @@
     fn check_rollout(&mut self, now: Time, service: &Service, out: &mut Vec<Effect>) {
         let pool = self.pool(now, service);
         let rank = self.table.rank(service.as_str(), now) as u64;
-        let ready = self.supplied && self.control.is_awake(now);
+        let ready = self.has_fleet_list && self.control.has_resumed(now);
         let Some(watch) = self.rollouts.watches.get_mut(service) else {
             return;
         };
@@ -261,7 +261,7 @@
             return;
         };
         watch.since = watch.since.min(Time(now.0.saturating_sub(pool.age().0)));
-        let verdict = watch.judge.look(pool, now);
+        let verdict = watch.judge.evaluate(pool, now);
         if let Verdict::Good(finding) | Verdict::Doubtful(finding) | Verdict::Bad(finding) = verdict
         {
             watch.finding = Some(finding);
@@ -292,7 +292,7 @@
             && is_due
             && Control::due(&mut watch.last_write, retry_period, now)
         {
-            out.push(Effect::Settle {
+            out.push(Effect::WriteRollout {
                 service: service.clone(),
                 order,
                 standing: desired,
@@ -302,10 +302,10 @@
 
     /// Returns what this box and the boxes that it hears have observed of a roll-out.
     fn pool(&self, now: Time, service: &Service) -> Pool {
-        let short = Short::of(service.as_str());
+        let short = NameHash::of(service.as_str());
         let order = self.rollouts.watches.get(service).and_then(|w| w.order());
         let revision = order.map(|order| order.revision);
-        let here = self.table.trials(self.rollouts.told(now), now);
+        let here = self.table.trials(self.rollouts.observed_trials(now), now);
         let other_regions = self.table.reachable(now);
         let other_regions = other_regions.flat_map(|(_, remote)| &remote.digest.trials);
         let same = |t: &&Trial| t.service == short && Some(t.order) == revision;
--- a/src/reducer/room.rs
+++ b/src/reducer/room.rs
@@ -43,7 +43,7 @@
         if !full && busy < MIN_BUSY_WHEN_FULL {
             return;
         }
-        let crowding = self.table.crowding(busy, now).unwrap_or(0.0);
+        let crowding = self.table.relative_load(busy, now).unwrap_or(0.0);
         let threshold = if full { EASED_CROWDING } else { FULL_CROWDING };
         let now_full = busy >= MIN_BUSY_WHEN_FULL && crowding > threshold;
         if now_full == full
