--- a/src/reducer/roster.rs
+++ b/src/reducer/roster.rs
@@ -46,30 +46,30 @@
     /// Returns the registered backend servers that this box knows, or only the changes after
     /// `since` if its history reaches back that far; `None` before it has any list.
     pub fn roster(&self, now: Time, since: Option<Revision>) -> Option<Roster> {
-        if !(self.registry && self.supplied) {
+        if !(self.registry && self.has_fleet_list) {
             return None;
         }
         let same_era = |since: &Revision| since.era == self.revision.era;
         let known = since.filter(|since| same_era(since) && *since <= self.revision);
         let changed = known.and_then(|since| Some((since, self.changes.since(since)?)));
         let (since, (backends, gone)) = match changed {
-            Some((since, names)) => (Some(since), self.fleet.sort_out(names, now)),
+            Some((since, names)) => (Some(since), self.fleet.partition_registered(names, now)),
             None => (None, (self.fleet.registered(now), Vec::new())),
         };
         Some(Roster {
             backends,
             since,
-            gone,
+            removed: gone,
             gaps: since.map_or_else(Vec::new, |since| self.changes.gaps_after(since)),
-            doubted: self.fleet.doubted(now),
+            in_doubt: self.fleet.in_doubt(now),
             evacuated: self.control.evacuations.reported.clone(),
-            rollouts: self.rollouts.tell(now),
+            rollouts: self.rollouts.stored_entries(now),
             revision: self.revision,
         })
     }
 
     /// Records that the store answered and has sent all its changes up to `revision`.
-    pub(super) fn sync(&mut self, now: Time, revision: Revision) {
+    pub(super) fn record_store_sync(&mut self, now: Time, revision: Revision) {
         self.revision = self.revision.max(revision);
         self.store_heard = Some(now);
         self.control.store_answered = Some(now);
@@ -78,20 +78,20 @@
     /// Reports whether `revision` is older than the known one, so that its content must be dropped.
     /// Content at the known revision is still accepted: it is either the same, or was missed in a
     /// gap of the history.
-    pub(super) fn is_old(&self, revision: Revision) -> bool {
-        self.supplied && revision < self.revision
+    pub(super) fn is_outdated(&self, revision: Revision) -> bool {
+        self.has_fleet_list && revision < self.revision
     }
 
     /// Logs that outdated content from the store was dropped.
-    pub(super) fn drop_old(&self, revision: Revision, out: &mut Vec<Effect>) {
-        out.push(Effect::Noted(Note::OldNews {
+    pub(super) fn log_outdated(&self, revision: Revision, out: &mut Vec<Effect>) {
+        out.push(Effect::Noted(Note::OutdatedUpdate {
             revision,
             known: self.revision,
         }));
     }
 
     /// Reports whether the platform's store answered recently; true where no store is followed.
-    pub(super) fn hears_store(&self, now: Time) -> bool {
+    pub(super) fn is_store_reachable(&self, now: Time) -> bool {
         let is_recent = |at: Time| now.since(at) <= STORE_TIMEOUT;
         !self.registry || self.store_heard.is_some_and(is_recent)
     }
@@ -99,7 +99,7 @@
     /// Fetches the list from another box if the store has sent none yet, or less than that box
     /// knows.
     pub(super) fn fetch_missing_roster(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let source = match self.supplied {
+        let source = match self.has_fleet_list {
             true => self.newer_roster(now),
             false => self.first_roster(now),
         };
@@ -113,7 +113,7 @@
 
     /// Builds the request to `peer` for the state that this box lacks.
     pub(super) fn fetch_roster(&self, peer: SocketAddr) -> Effect {
-        let since = self.supplied.then_some(self.revision);
+        let since = self.has_fleet_list.then_some(self.revision);
         Effect::FetchRoster { peer, since }
     }
 
@@ -122,9 +122,9 @@
         if now < Time(0) + FIRST_LIST_TIMEOUT {
             return None;
         }
-        let local = self.table.sender(now);
+        let local = self.table.list_source(now);
         let remotes = self.table.reachable(now);
-        let mut remote_peers = remotes.flat_map(|(_, remote)| &remote.digest.doors);
+        let mut remote_peers = remotes.flat_map(|(_, remote)| &remote.digest.endpoints);
         let remote_peer = || remote_peers.next().map(|door| door.contact.peer);
         local.map(|contact| contact.peer).or_else(remote_peer)
     }
@@ -143,8 +143,8 @@
         let since = now;
         let store_lag = previous.unwrap_or(StoreLag { revision, since });
         self.control.store_lag = Some(store_lag);
-        let tolerance = match self.hears_store(now) {
-            true => MAX_STORE_LAG + fleet::gathering(self.table.boxes(now)),
+        let tolerance = match self.is_store_reachable(now) {
+            true => MAX_STORE_LAG + fleet::batch_delay(self.table.boxes(now)),
             false => Millis(0),
         };
         if now.since(store_lag.since) < tolerance {
@@ -158,8 +158,8 @@
         if !self.registry {
             return None;
         }
-        let local = self.table.ahead_here(self.revision, now);
-        let remote_best = self.table.ahead_elsewhere(self.revision, now);
+        let local = self.table.newest_peer(self.revision, now);
+        let remote_best = self.table.newest_region(self.revision, now);
         let local = local.map(|peer| peer.last.revision);
         local.max(remote_best.map(|(_, remote)| remote.digest.revision))
     }
@@ -167,64 +167,64 @@
     /// Returns the box to fetch the missing state from. Only one box of a region asks other
     /// regions, because traffic between regions is limited and expensive.
     fn newer_source(&self, now: Time) -> Option<SocketAddr> {
-        if let Some(local) = self.table.ahead_here(self.revision, now) {
+        if let Some(local) = self.table.newest_peer(self.revision, now) {
             return Some(local.last.contact.peer);
         }
         if !self.table.leads(REMOTE_FETCH_DUTY, now) {
             return None;
         }
-        let (region, _) = self.table.ahead_elsewhere(self.revision, now)?;
-        let door = self.table.door(region, self.control.digests)?;
+        let (region, _) = self.table.newest_region(self.revision, now)?;
+        let door = self.table.relay_endpoint(region, self.control.digests)?;
         Some(door.contact.peer)
     }
 
     /// Applies the state fetched from another box, unless the store has sent it in the meantime.
-    pub(super) fn take_roster(&mut self, now: Time, roster: Roster, out: &mut Vec<Effect>) {
-        if self.supplied && roster.revision <= self.revision {
+    pub(super) fn apply_roster(&mut self, now: Time, roster: Roster, out: &mut Vec<Effect>) {
+        if self.has_fleet_list && roster.revision <= self.revision {
             return;
         }
         // Changes are useless without the state that they are based on.
-        let is_applicable = |since: Revision| self.supplied && since <= self.revision;
+        let is_applicable = |since: Revision| self.has_fleet_list && since <= self.revision;
         if !roster.since.is_none_or(is_applicable) {
             return;
         }
         let revision = roster.revision;
         // Servers that a list of a newer era lacks may register again.
-        let doubt = match self.supplied && revision.era > self.revision.era {
-            true => fleet::DOUBT,
+        let doubt = match self.has_fleet_list && revision.era > self.revision.era {
+            true => fleet::OUTAGE_GRACE,
             false => Millis(0),
         };
-        self.notice_era(now, revision.era, out);
+        self.handle_era(now, revision.era, out);
         match roster.since {
-            None if self.supplied => self.changes.skip(self.revision, revision),
+            None if self.has_fleet_list => self.changes.record_gap(self.revision, revision),
             None => {}
             // The answer contains every change since then, so this box can answer others
             // incrementally too.
             Some(_) => {
                 for (since, until) in roster.gaps {
-                    self.changes.skip(since.max(self.revision), until);
+                    self.changes.record_gap(since.max(self.revision), until);
                 }
             }
         }
         self.revision = revision;
-        self.evacuate(now, roster.evacuated, out);
-        self.take_rollouts(now, &roster.rollouts, out);
+        self.set_evacuated(now, roster.evacuated, out);
+        self.apply_rollouts(now, &roster.rollouts, out);
         let changes: Vec<Change> = match roster.since {
             None => vec![Change::List {
                 backends: roster.backends,
-                doubt,
+                grace: doubt,
             }],
             Some(_) => {
-                let gone = roster.gone.into_iter();
-                let gone = gone.map(|name| Change::Gone { name, doubt });
+                let gone = roster.removed.into_iter();
+                let gone = gone.map(|name| Change::Removed { name, grace: doubt });
                 gone.chain(roster.backends.into_iter().map(Change::Put))
                     .collect()
             }
         };
-        let doubted = roster.doubted.into_iter();
-        let doubted = doubted.map(|(name, doubt)| Change::Gone { name, doubt });
+        let doubted = roster.in_doubt.into_iter();
+        let doubted = doubted.map(|(name, doubt)| Change::Removed { name, grace: doubt });
         for change in changes.into_iter().chain(doubted) {
-            self.supplied(now, change, revision, out);
+            self.apply_fleet_change(now, change, revision, out);
         }
     }
 }
--- a/src/reducer/stall.rs
+++ b/src/reducer/stall.rs
@@ -10,7 +10,7 @@
         State,
         effect::{Basis, Effect},
         event::Cause,
-        job::{Job, Spot, Stage},
+        job::{Assignment, Job, Stage},
         outcome::InFlight,
         repeat::RetryKind,
     },
@@ -28,7 +28,12 @@
 
 impl<P: Policy> State<P> {
     /// Schedules the time at which an attempt that was just sent counts as stalled.
-    pub(super) fn watch_stall(&mut self, now: Time, request: id::Request, attempt: id::Attempt) {
+    pub(super) fn schedule_stall_check(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        attempt: id::Attempt,
+    ) {
         let Some(job) = self.jobs.get(&request).filter(|job| job.repeatable) else {
             return;
         };
@@ -88,13 +93,13 @@
             return;
         }
         out.push(match in_flight.has_begun() {
-            true => Effect::Leave { request, attempt },
+            true => Effect::DetachStream { request, attempt },
             false => Effect::Abort { request, attempt },
         });
         self.release(in_flight, None);
         self.record_failure(now, &in_flight.spot, Cause::Silent);
         if let Some(job) = self.jobs.get_mut(&request) {
-            out.extend(job.drop_copy(request));
+            out.extend(job.free_copy(request));
             job.count_run(&in_flight.spot);
             job.moved |= in_flight.has_begun();
             job.stage = Stage::Waiting;
@@ -106,7 +111,7 @@
     fn alternative_place(&self, now: Time, request: id::Request) -> Option<(Place, Basis)> {
         let job = self.jobs.get(&request)?;
         let spent = job.runs < 2 || job.attempts >= retry::MAX_ATTEMPTS;
-        if spent || self.awaits_word(now, job) || self.withheld(now, job).is_some() {
+        if spent || self.awaits_probe(now, job) || self.quarantine_refusal(now, job).is_some() {
             return None;
         }
         let decision = self.decide(now, job).ok()?;
@@ -125,18 +130,18 @@
 
 impl Job {
     /// Subtracts the runs that an attempt at `spot` may have used.
-    pub(super) fn count_run(&mut self, spot: &Spot) {
+    pub(super) fn count_run(&mut self, spot: &Assignment) {
         self.may_have_run = true;
         let used = match spot {
-            Spot::Chosen(Place::Region(_), _) => self.lent(),
-            Spot::Chosen(Place::Backend(_), _) | Spot::Pinned => 1,
+            Assignment::Chosen(Place::Region(_), _) => self.runs_for_region(),
+            Assignment::Chosen(Place::Backend(_), _) | Assignment::Pinned => 1,
         };
         self.runs = self.runs.saturating_sub(used);
     }
 
     /// Returns how many runs another region may use; one is kept in case that region does not
     /// answer.
-    pub(super) fn lent(&self) -> u32 {
+    pub(super) fn runs_for_region(&self) -> u32 {
         self.runs.saturating_sub(1).max(1)
     }
 }
--- a/src/reducer/status.rs
+++ b/src/reducer/status.rs
@@ -3,18 +3,18 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    config::{Ask, Version},
+    config::{Query, Version},
     content::Content,
     id::{self, BoxName, Domain, Region, Release, Selector, Service},
     policy::{Candidate, Choice, Policy},
     reducer::{State, job::Job, place::Exclusion},
     retry,
     rollout::{Count, Finding, Standing},
-    server::Bar,
+    server::Block,
     service,
     size::Weight,
     unit::{Millis, Rate, Time},
-    wire::{Phase, Short},
+    wire::{NameHash, Phase},
 };
 
 /// One box's view of the system.
@@ -204,8 +204,8 @@
         Some(Self {
             rate: limit.rate()?,
             share: limit.share(),
-            teller: limit.teller().cloned(),
-            age: now.since(limit.at()?),
+            teller: limit.reporter().cloned(),
+            age: now.since(limit.effective_at()?),
         })
     }
 }
@@ -249,9 +249,9 @@
         Some(Exclusion::Listed) => "leaving, by the platform's list",
         Some(Exclusion::Evacuated) => "its failure domain is evacuated",
         Some(Exclusion::Release) => "a roll-out keeps requests off its release",
-        Some(Exclusion::Barred(Bar::Broken)) => "failing",
-        Some(Exclusion::Barred(Bar::Refusing)) => "refusing work",
-        Some(Exclusion::Barred(Bar::PushedBack)) => "it asked this box to stay away for a while",
+        Some(Exclusion::Barred(Block::BreakerOpen)) => "failing",
+        Some(Exclusion::Barred(Block::Refusing)) => "refusing work",
+        Some(Exclusion::Barred(Block::PushedBack)) => "it asked this box to stay away for a while",
     }
 }
 
@@ -273,7 +273,7 @@
             domain: peer.last.contact.domain.clone(),
             version: peer.last.version,
             phase: peer.last.phase,
-            silent: now.since(peer.heard),
+            silent: now.since(peer.received_at),
             weight: peer.last.room.weight.map(Weight::number),
             full: peer.last.room.full,
             busy: peer.last.busy,
@@ -281,10 +281,10 @@
         let regions = self.table.regions().map(|(name, remote)| Remote {
             name: name.clone(),
             version: remote.digest.version,
-            silent: now.since(remote.heard),
+            silent: now.since(remote.received_at),
             doors: remote
                 .digest
-                .doors
+                .endpoints
                 .iter()
                 .map(|d| d.contact.name.clone())
                 .collect(),
@@ -323,7 +323,7 @@
                     name: b.name.clone(),
                     used: excluded.is_none(),
                     reason: exclusion_reason(excluded).to_owned(),
-                    busy: server.busy + self.table.busy(Short::of(b.name.as_str()), now),
+                    busy: server.busy + self.table.busy(NameHash::of(b.name.as_str()), now),
                     slots: server.slots(b.slots, now),
                     first: server.first(),
                     limit: Limit::of(&server.limit, now),
@@ -335,7 +335,7 @@
     }
 
     /// Returns where a request would go at `now`, without sending it.
-    pub fn explain(&self, now: Time, ask: Ask, prefix: u64) -> Result<Explanation, String> {
+    pub fn explain(&self, now: Time, ask: Query, prefix: u64) -> Result<Explanation, String> {
         let config = self.config.as_ref().ok_or("no configuration is in force")?;
         let plan = config.plan(&ask).map_err(|refusal| refusal.to_string())?;
         let job = Job {
@@ -346,7 +346,7 @@
             .decide(now, &job)
             .map_err(|refusal| refusal.to_string())?;
         let mut regions: Vec<Region> = config.regions.keys().cloned().collect();
-        regions.retain(|region| plan.permits(region));
+        regions.retain(|region| plan.permits_region(region));
         regions.sort();
         let left_out = self
             .fleet
@@ -354,8 +354,8 @@
             .filter_map(|b| {
                 let excluded = self.excluded(now, b);
                 let reason = match () {
-                    () if !plan.permits(&b.region) => "its region is not permitted",
-                    () if !plan.allows(b) => "its labels do not match the selector",
+                    () if !plan.permits_region(&b.region) => "its region is not permitted",
+                    () if !plan.permits_backend(b) => "its labels do not match the selector",
                     () if excluded.is_some() => exclusion_reason(excluded),
                     () if self.limit_wait(now, &b.name, 0.0).is_none() => {
                         "other boxes share the limit that it names"
--- a/src/reducer/subset.rs
+++ b/src/reducer/subset.rs
@@ -2,24 +2,24 @@
 //!
 //! Load pattern: 1,274 requests a second over 984 boxes and 9,552 engines, of whose slots 0.2% are
 //! in use. A box that chooses among 4,328 engines each time opens a connection per request, finds
-//! no part of a prompt cached, and spends a quarter of its processor time on examining them. So a
-//! request considers a few servers selected by a key, and all servers if none of these would take
-//! it at once. Cold, leaving, limited, busy or failing servers are thereby compensated for in the
-//! same decision.
+//! no part of a prompt cached, and spends a quarter of its processor time on examining them
+//! (profile samples of 39 boxes under traffic). So a request considers a few servers selected by a
+//! key, and all servers if none of these would take it at once. Cold, leaving, limited, busy or
+//! failing servers are thereby compensated for in the same decision.
 
 use crate::{
     config::Backend,
     id::Region,
-    member::weight,
+    member::rendezvous_hash,
     memory::cache,
     memory::prompt::Prompt,
     policy::{Choice, Place, Policy},
     reducer::{
         State,
-        place::{Decision, Wish},
+        place::{Decision, Query},
     },
     unit::Millis,
-    wire::Short,
+    wire::NameHash,
 };
 
 /// Number of servers of a region up to which a request considers all of them: 17 us a decision at
@@ -40,7 +40,7 @@
 impl Decision {
     /// Reports whether a server of this region takes the request at once and has room for more, so
     /// that the other servers need not be considered.
-    pub(super) fn is_easy(&self) -> bool {
+    pub(super) fn needs_no_full_scan(&self) -> bool {
         let Choice::Send(place @ Place::Backend(_)) = &self.choice else {
             return false;
         };
@@ -65,7 +65,7 @@
 impl<P: Policy> State<P> {
     /// Returns the subset of this region's servers that a request considers first, or `None` if it
     /// considers all of them.
-    pub(super) fn few(&self, wish: &Wish<'_>) -> Option<Vec<&Backend>> {
+    pub(super) fn sampled_backends(&self, wish: &Query<'_>) -> Option<Vec<&Backend>> {
         // A roll-out needs servers of both releases.
         match self.is_watched(&wish.plan.service, wish.now) {
             true => None,
@@ -75,14 +75,14 @@
 
     /// Returns the servers by which another region is assessed: a subset, or all of them if there
     /// are few.
-    pub(super) fn some_there(&self, wish: &Wish<'_>, region: &Region) -> Vec<&Backend> {
+    pub(super) fn remote_sample(&self, wish: &Query<'_>, region: &Region) -> Vec<&Backend> {
         let all = || self.fleet.serving(&wish.plan.service, region).collect();
         self.subset_around(wish, region).unwrap_or_else(all)
     }
 
     /// Returns the servers next to the request's key, and those known to hold the longest part of
     /// its prompt; `None` in a region small enough to consider all servers.
-    fn subset_around(&self, wish: &Wish<'_>, region: &Region) -> Option<Vec<&Backend>> {
+    fn subset_around(&self, wish: &Query<'_>, region: &Region) -> Option<Vec<&Backend>> {
         let service = &wish.plan.service;
         if self.fleet.count(service, region) <= FULL_SCAN_MAX {
             return None;
@@ -100,20 +100,21 @@
             },
             // Any server reads a short prompt quickly; fewer servers mean fewer connections.
             (None, Some(_)) => Subset {
-                key: weight(&self.table.me.name, service.as_str()),
+                key: rendezvous_hash(&self.table.me.name, service.as_str()),
                 size: OWN_SUBSET_SIZE,
             },
         };
-        let usable = |b: &&Backend| wish.plan.allows(b) && self.excluded(wish.now, b).is_none();
+        let usable =
+            |b: &&Backend| wish.plan.permits_backend(b) && self.excluded(wish.now, b).is_none();
         let around = self
             .fleet
-            .around(service, region, subset.key)
+            .ring_from(service, region, subset.key)
             .filter(usable);
         let mut servers: Vec<&Backend> = around.take(subset.size).collect();
         let holders = long
             .into_iter()
             .flat_map(|part| self.cache.holders(part.id));
-        let holders = holders.filter_map(|short: Short| self.fleet.get(self.fleet.long(short)?));
+        let holders = holders.filter_map(|short: NameHash| self.fleet.get(self.fleet.long(short)?));
         let holders = holders.filter(|b| b.region == *region && b.serves.contains(service));
         for holder in holders {
             if !servers.iter().any(|b| b.name == holder.name) {
--- a/src/reducer/supply.rs
+++ b/src/reducer/supply.rs
@@ -15,7 +15,7 @@
     reducer::{State, job::Job},
     server::Server,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 /// Minimum tokens for a fetch. For fewer, the handshake between the two engines takes as long as
@@ -112,14 +112,14 @@
             .filter(|engine| engine.link.is_some())?;
         let prompt = job.prompt.as_ref()?;
         let part = prompt.longest().filter(|p| p.tokens >= cache::LONG)?;
-        let holder = |short: Short| {
+        let holder = |short: NameHash| {
             let backend = self.fleet.get(self.fleet.long(short)?)?;
             let serves = backend.region == *region && backend.serves.contains(service);
             if !serves || !self.is_healthy_source(now, backend) {
                 return None;
             }
             let lacks = self.cache.unread(prompt, short, Some(engine.tokens), now);
-            let draw = u64::from(short.0).wrapping_mul(job.ask.draw | 1);
+            let draw = u64::from(short.0).wrapping_mul(job.ask.random | 1);
             (lacks < prompt.tokens).then_some((backend, lacks, draw))
         };
         let holders = self.cache.holders(part.id).filter_map(holder);
@@ -133,7 +133,7 @@
     fn is_healthy_source(&self, now: Time, backend: &Backend) -> bool {
         let failed = |server: &Server| server.failed_at().is_some();
         self.excluded(now, backend).is_none()
-            && !self.table.is_down(Short::of(backend.name.as_str()), now)
+            && !self.table.is_down(NameHash::of(backend.name.as_str()), now)
             && !self.fleet.is_cold(&backend.name, now)
             && !self.servers.get(&backend.name).is_some_and(failed)
     }
@@ -144,7 +144,7 @@
             return None;
         };
         let memory = self.memory(&job.service);
-        let short = Short::of(name.as_str());
+        let short = NameHash::of(name.as_str());
         let unread = self.cache.unread(prompt, short, memory, now);
         let region = &self.table.me.region;
         let Some(backend) = self.fleet.get(name) else {
--- a/src/reducer/suspect.rs
+++ b/src/reducer/suspect.rs
@@ -17,7 +17,7 @@
     reducer::{
         State,
         effect::{Effect, Reply},
-        job::{Job, Spot, Stage},
+        job::{Assignment, Job, Stage},
         outcome,
     },
     unit::{Millis, Time},
@@ -43,7 +43,7 @@
 
 /// Attempts that broke at servers which may have crashed.
 #[derive(Debug, Default)]
-pub(super) struct Suspects {
+pub(super) struct CrashProbes {
     probes: HashMap<id::Backend, Probe>,
     /// Cleared contents that the other boxes have not been told of yet.
     cleared: Vec<Fingerprint>,
@@ -68,7 +68,7 @@
         in_flight: &outcome::InFlight,
         out: &mut Vec<Effect>,
     ) {
-        let Spot::Chosen(Place::Backend(name), _) = &in_flight.spot else {
+        let Assignment::Chosen(Place::Backend(name), _) = &in_flight.spot else {
             return;
         };
         let Some(job) = self.jobs.get(&request) else {
@@ -97,7 +97,7 @@
         probes.retain(|_, probe| now.since(probe.since) < PROBE_TIMEOUT);
         if !probes.contains_key(name) {
             let backend = name.clone();
-            out.push(Effect::Knock { backend, address });
+            out.push(Effect::Probe { backend, address });
         }
         let probe = probes.entry(name.clone()).or_insert(Probe {
             since: now,
@@ -110,7 +110,7 @@
 
     /// Handles the result of a probe: if the server has ended, records a strike for each content
     /// that was in flight there.
-    pub(super) fn knocked(
+    pub(super) fn on_probe_result(
         &mut self,
         now: Time,
         backend: &id::Backend,
@@ -142,7 +142,7 @@
         out.push(Effect::Quarantine(step));
         self.suspects.cleared.push(content);
         if self.registry && step.is_decision() {
-            out.push(Effect::Discard(content));
+            out.push(Effect::RemoveHeld(content));
         }
     }
 
@@ -152,18 +152,23 @@
             return;
         }
         let left = self.quarantine.held(&content, now);
-        out.extend(left.map(|left| Effect::Keep(Held { content, left })));
+        out.extend(left.map(|left| Effect::StoreHeld(Held { content, left })));
     }
 
     /// Quarantines a content that the store holds. The store does not give the remaining time, so
     /// the full period is used.
-    pub(super) fn kept(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
+    pub(super) fn on_stored_quarantine(
+        &mut self,
+        now: Time,
+        content: Fingerprint,
+        out: &mut Vec<Effect>,
+    ) {
         let left = quarantine::HOLD;
-        self.hear_held(now, &[Held { content, left }], out);
+        self.receive_held(now, &[Held { content, left }], out);
     }
 
     /// Sends the other boxes the contents cleared since the last tick.
-    pub(super) fn tell_cleared(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn send_cleared(&mut self, now: Time, out: &mut Vec<Effect>) {
         let cleared = std::mem::take(&mut self.suspects.cleared);
         for cleared in cleared.chunks(MAX_MARKS_PER_MESSAGE) {
             self.broadcast_marks(now, Vec::new(), cleared.to_vec(), out);
@@ -172,7 +177,7 @@
 
     /// Applies strikes and cleared contents received from another box, and forwards them if
     /// requested.
-    pub(super) fn hear_marks(
+    pub(super) fn receive_marks(
         &mut self,
         now: Time,
         frame: &Frame,
@@ -182,7 +187,7 @@
         for strike in &marks.strikes {
             // This box has a complete answer for the content, so it tells all boxes that it is
             // cleared.
-            if self.quarantine.has_alibi(&strike.content, now) {
+            if self.quarantine.has_recent_success(&strike.content, now) {
                 self.suspects.cleared.push(strike.content);
                 continue;
             }
@@ -199,16 +204,16 @@
                 spread: false,
                 ..marks.clone()
             });
-            self.pass_on(now, frame, body, out);
+            self.forward(now, frame, body, out);
         }
     }
 
     /// Applies the quarantined contents received from another box.
-    pub(super) fn hear_held(&mut self, now: Time, held: &[Held], out: &mut Vec<Effect>) {
+    pub(super) fn receive_held(&mut self, now: Time, held: &[Held], out: &mut Vec<Effect>) {
         for held in held {
-            if self.quarantine.has_alibi(&held.content, now) {
+            if self.quarantine.has_recent_success(&held.content, now) {
                 self.suspects.cleared.push(held.content);
-            } else if let Some(step) = self.quarantine.hold(*held, now) {
+            } else if let Some(step) = self.quarantine.apply_report(*held, now) {
                 self.apply_step(now, step, out);
             }
         }
@@ -217,32 +222,32 @@
     /// Lets a content run again on an operator's request.
     pub(super) fn pardon(&mut self, now: Time, content: Fingerprint, out: &mut Vec<Effect>) {
         self.clear_content(now, content, out);
-        self.tell_cleared(now, out);
+        self.send_cleared(now, out);
     }
 
     /// Returns the refusal for a request whose content is quarantined, or `None` if it may run.
-    pub(super) fn withheld(&self, now: Time, job: &Job) -> Option<Reply> {
+    pub(super) fn quarantine_refusal(&self, now: Time, job: &Job) -> Option<Reply> {
         let left = self.quarantine.held(&job.content, now)?;
         let reason = "it is held back: backend servers ended while they ran the same request";
-        Some(Reply::new(503, job.verdict(), reason).after(left))
+        Some(Reply::new(503, job.verdict(), reason).with_retry_after(left))
     }
 
     /// Reports whether a server is being probed whose crash would be the last evidence needed to
     /// quarantine the job's content. No further server is risked before the result is known.
     /// Without this wait a stream went on to a fourth server in the milliseconds that the probe
     /// took, in 2 of 10 runs of ten such requests at two boxes; with it, in none of 16.
-    pub(super) fn awaits_word(&self, now: Time, job: &Job) -> bool {
+    pub(super) fn awaits_probe(&self, now: Time, job: &Job) -> bool {
         let probes = self.suspects.probes.values();
         let weight: u32 = probes
             .filter(|probe| now.since(probe.since) < PROBE_TIMEOUT)
             .filter_map(|probe| probe.weight(&job.content))
             .sum();
-        weight > 0 && self.quarantine.would_hold(&job.content, weight)
+        weight > 0 && self.quarantine.would_quarantine(&job.content, weight)
     }
 
     /// Records a strike; returns whether it was new.
     fn record_strike(&mut self, now: Time, strike: Strike, out: &mut Vec<Effect>) -> bool {
-        let Some(step) = self.quarantine.strike(strike, now) else {
+        let Some(step) = self.quarantine.record_crash(strike, now) else {
             return false;
         };
         self.apply_step(now, step, out);
@@ -263,7 +268,7 @@
         let pending = same.filter(|(_, job)| match &job.stage {
             Stage::Waiting => true,
             Stage::Sent { begun, .. } => begun.is_none(),
-            Stage::Joined(_) => false,
+            Stage::AwaitingOwner(_) => false,
         });
         let mut pending: Vec<id::Request> = pending.map(|(request, _)| *request).collect();
         pending.sort_unstable();
@@ -275,7 +280,7 @@
             let Some(reply) = self
                 .jobs
                 .get(&request)
-                .and_then(|job| self.withheld(now, job))
+                .and_then(|job| self.quarantine_refusal(now, job))
             else {
                 continue;
             };
@@ -293,7 +298,7 @@
         cleared: Vec<Fingerprint>,
         out: &mut Vec<Effect>,
     ) {
-        for (to, spread) in self.everyone(now) {
+        for (to, spread) in self.broadcast_targets(now) {
             let frame = self.frame(Body::Marks(Marks {
                 strikes: strikes.clone(),
                 cleared: cleared.clone(),
--- a/src/reducer/tally.rs
+++ b/src/reducer/tally.rs
@@ -6,7 +6,7 @@
     policy::Policy,
     reducer::{State, control::Control, effect::Effect},
     unit::{Millis, Time},
-    wire::{Body, Phase, Report, Share, Short, Tally, Usage},
+    wire::{Body, NameHash, Phase, Report, Share, Tally, Usage},
 };
 
 /// Time between two reports of a box to its hubs, and of a hub to its boxes.
@@ -25,8 +25,8 @@
         }
         let report = Report {
             usages: self.usages(now),
-            uses: self.accounts.told(now),
-            trials: self.rollouts.told(now),
+            uses: self.accounts.to_report(now),
+            trials: self.rollouts.observed_trials(now),
         };
         let ready = self.phase(now) == Phase::Ready;
         let hubs = self.table.hubs(ready, now);
@@ -36,7 +36,7 @@
         if !(idle && was_idle) {
             self.send_all(Body::Report(report.clone()), hubs.others, out);
         }
-        self.table.tell_report(&report);
+        self.table.record_sent_report(&report);
         if hubs.mine {
             self.broadcast_tally(now, report, out);
         }
@@ -44,9 +44,9 @@
 
     /// As a hub, adds up the reports of the boxes and broadcasts the sums.
     fn broadcast_tally(&mut self, now: Time, report: Report, out: &mut Vec<Effect>) {
-        let shares = self.table.sum_up(report, now);
+        let shares = self.table.aggregate(report, now);
         let is_idle = |share: &Share| share.report.is_empty();
-        let held = self.quarantine.told(now);
+        let held = self.quarantine.to_report(now);
         let idle = held.is_empty() && shares.iter().all(is_idle);
         let was_idle = std::mem::replace(&mut self.control.idle_region, idle);
         let store = self.store_progress(now);
@@ -59,7 +59,7 @@
             return;
         }
         let own: Vec<Share> = shares.iter().take(1).cloned().collect();
-        let neighbours = self.table.neighbours(now);
+        let neighbours = self.table.domain_peers(now);
         let other_hubs = self.table.other_hubs(now);
         let tally = Tally {
             shares,
@@ -78,14 +78,14 @@
     /// Returns the recent usage of backend servers by this box.
     fn usages(&self, now: Time) -> Vec<Usage> {
         let usage = |(name, server): (&crate::id::Backend, &crate::server::Server)| {
-            server.usage(Short::of(name.as_str()), now)
+            server.usage(NameHash::of(name.as_str()), now)
         };
         self.servers.iter().filter_map(usage).collect()
     }
 
     /// Records the usage report of a box of this failure domain.
     pub(super) fn receive_report(&mut self, now: Time, from: &BoxName, report: &Report) {
-        self.table.hear_report(from, report.clone(), now);
+        self.table.record_report(from, report.clone(), now);
     }
 
     /// Records the sums that a hub broadcasts.
@@ -96,8 +96,8 @@
         tally: &Tally,
         out: &mut Vec<Effect>,
     ) {
-        self.hear_held(now, &tally.held, out);
-        if self.table.hear_tally(from, &tally.shares, now)
+        self.receive_held(now, &tally.held, out);
+        if self.table.apply_tally(from, &tally.shares, now)
             && let Some(progress) = tally.store
         {
             self.receive_store_progress(now, from, progress, out);
@@ -106,8 +106,8 @@
 
     /// Reports whether other boxes found that `backend` is down and this request should avoid it.
     /// Of as many requests as there are boxes, one, chosen by `draw`, is let through as a probe.
-    pub(super) fn is_shunned(&self, now: Time, backend: &Backend, draw: u64) -> bool {
-        if !self.table.is_down(Short::of(backend.name.as_str()), now) {
+    pub(super) fn is_avoided(&self, now: Time, backend: &Backend, draw: u64) -> bool {
+        if !self.table.is_down(NameHash::of(backend.name.as_str()), now) {
             return false;
         }
         let boxes = self.table.live(now).count() as u64 + 1;
--- a/src/reducer/watch.rs
+++ b/src/reducer/watch.rs
@@ -7,9 +7,9 @@
     config::Backend,
     id::{Release, Service},
     reducer::effect::{Effect, Step},
-    rollout::{Entry, Finding, Judge, Order, Permits, Standing, Verdict},
+    rollout::{Entry, Evaluator, Finding, Order, Permits, Standing, Verdict},
     unit::{Millis, Time},
-    wire::{Short, Trial},
+    wire::{NameHash, Trial},
 };
 
 /// How long before an order's time is over its traffic moves: at most this long, and at most the
@@ -54,8 +54,8 @@
     pub(super) since: Time,
     pub(super) permits: Permits,
     /// The answers that this box counted, by route.
-    pub(super) trials: BTreeMap<Short, Trial>,
-    pub(super) judge: Judge,
+    pub(super) trials: BTreeMap<NameHash, Trial>,
+    pub(super) judge: Evaluator,
     /// When traffic moved to the new release.
     pub(super) shifted_at: Option<Time>,
     /// The state that this box wants recorded, and since when it does.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -290,12 +290,12 @@
     }
 
     /// Sets new limits.
-    pub fn limit(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
     /// Sets how many boxes share the slack; `None` if the box cannot know.
-    pub fn share(&mut self, boxes: Option<usize>) {
+    pub fn set_boxes(&mut self, boxes: Option<usize>) {
         self.boxes = boxes;
     }
 
@@ -319,7 +319,7 @@
     }
 
     /// Records a fresh request for `service`.
-    pub fn earn(&mut self, service: &Service, now: Time) {
+    pub fn record_request(&mut self, service: &Service, now: Time) {
         if let Some(window) = self.windows.get_mut(service) {
             window.current(now).fresh += 1;
             return;
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -375,7 +375,7 @@
 
 /// Evaluates the evidence periodically.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct Evaluator {
     /// Snapshots of earlier evaluations, the oldest first.
     snapshots: std::collections::VecDeque<(Time, Pool)>,
 }
@@ -384,9 +384,9 @@
 /// only later or only under load.
 const RECENT_WINDOW: Millis = Millis(3000);
 
-impl Judge {
+impl Evaluator {
     /// Evaluates the answers known at `now`, over the whole roll-out and over the recent window.
-    pub fn look(&mut self, pool: Pool, now: Time) -> Verdict {
+    pub fn evaluate(&mut self, pool: Pool, now: Time) -> Verdict {
         let whole = pool.strongest_finding(None);
         let recent = self
             .snapshots
@@ -415,13 +415,13 @@
 
 /// A moving average of the time that answers take.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Typical {
+pub struct Baseline {
     samples: u32,
     /// Mean of the logarithms of the times in milliseconds.
     log_mean: f64,
 }
 
-impl Typical {
+impl Baseline {
     /// Adds a sample.
     pub fn learn(&mut self, took: Millis) {
         self.samples = self.samples.saturating_add(1);
--- a/src/server.rs
+++ b/src/server.rs
@@ -6,7 +6,7 @@
     detector::Detector,
     limit::Limit,
     unit::{self, Millis, Rate, Time},
-    wire::{Short, Usage},
+    wire::{NameHash, Usage},
 };
 
 /// Consecutive failures that open the breaker.
@@ -59,9 +59,9 @@
 
 /// Why a backend server gets no requests at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
+pub enum Block {
     /// The breaker is open after several consecutive failures.
-    Broken,
+    BreakerOpen,
     /// The server refused work.
     Refusing,
     /// The server asked this box to pause (pushback).
@@ -141,7 +141,7 @@
 
 impl Server {
     /// Resets everything but the attempts in flight after the server restarted.
-    pub fn start_again(&mut self) {
+    pub fn reset_after_restart(&mut self) {
         *self = Self {
             busy: self.busy,
             ..Self::default()
@@ -149,16 +149,16 @@
     }
 
     /// Returns why the server gets no requests at `now`, if it gets none.
-    pub fn bar(&self, now: Time) -> Option<Bar> {
+    pub fn block(&self, now: Time) -> Option<Block> {
         // After the pause, a single request probes the server.
         if self.is_pushed_back(now) || self.pushed_back_until.is_some() && self.probing {
-            return Some(Bar::PushedBack);
+            return Some(Block::PushedBack);
         }
         if self.backoff_until.is_some_and(|t| now < t) {
-            return Some(Bar::Refusing);
+            return Some(Block::Refusing);
         }
         let open = self.open_until?;
-        (now < open || self.probing).then_some(Bar::Broken)
+        (now < open || self.probing).then_some(Block::BreakerOpen)
     }
 
     /// Returns the slots that may be used at `now`, out of `slots`.
@@ -209,7 +209,7 @@
     }
 
     /// Adds `tokens` to the prompt tokens that the server has yet to process.
-    pub fn hear(&mut self, tokens: u32, now: Time) {
+    pub fn add_pending_prompt(&mut self, tokens: u32, now: Time) {
         let from = self.prompts_done_at.max(now.0 as f64);
         self.prompts_done_at = from + self.reading(tokens);
     }
@@ -254,8 +254,8 @@
 
     /// Records data on its streams and the longest pause between data on one stream. Returns true
     /// if the server was considered failed until now.
-    pub fn hear_stream(&mut self, pause: Millis, now: Time) -> bool {
-        let recovered = self.detector.hear(pause, now);
+    pub fn record_stream_data(&mut self, pause: Millis, now: Time) -> bool {
+        let recovered = self.detector.record_data(pause, now);
         if recovered {
             self.failed_share = 0.0;
             self.updated = now;
@@ -265,8 +265,8 @@
 
     /// Records that its `streams` received no data for `span`. Returns true if the server is
     /// considered failed from now on.
-    pub fn miss_stream(&mut self, span: Millis, streams: usize, now: Time) -> bool {
-        let failed = self.detector.wait(span, streams, now);
+    pub fn record_stream_silence(&mut self, span: Millis, streams: usize, now: Time) -> bool {
+        let failed = self.detector.record_silence(span, streams, now);
         if failed {
             self.failed_share = 1.0;
             self.updated = now;
@@ -282,7 +282,7 @@
     /// Records an attempt sent there with `work` prompt tokens to process.
     pub fn start(&mut self, work: u32, now: Time) {
         self.busy += 1;
-        self.hear(work, now);
+        self.add_pending_prompt(work, now);
         self.probing = self.open_until.is_some() || self.pushed_back_until.is_some();
     }
 
@@ -290,7 +290,7 @@
     /// prompt tokens were to be processed. Returns true if the server was considered failed until
     /// now.
     pub fn begin(&mut self, took: Millis, expected: Millis, work: u32, now: Time) -> bool {
-        let recovered = self.hear_stream(Millis(0), now);
+        let recovered = self.record_stream_data(Millis(0), now);
         self.decay(now);
         self.failed_share -= ERROR_WEIGHT * self.failed_share;
         self.answered_at = Some(now);
@@ -336,25 +336,25 @@
     }
 
     /// Records that an attempt ended before its answer began: its `work` is no longer processed.
-    pub fn withdraw(&mut self, work: u32) {
+    pub fn cancel_pending_prompt(&mut self, work: u32) {
         self.prompts_done_at -= self.reading(work);
     }
 
     /// Records that it ran a request and answered with an error.
-    pub fn err(&mut self, now: Time) {
+    pub fn record_error(&mut self, now: Time) {
         self.decay(now);
         self.failed_share += ERROR_WEIGHT * (1.0 - self.failed_share);
     }
 
     /// Records that an answer was overdue or broke off.
-    pub fn stall(&mut self, now: Time) {
+    pub fn record_stall(&mut self, now: Time) {
         self.decay(now);
         self.failed_share += SAMPLE_WEIGHT * (1.0 - self.failed_share);
     }
 
     /// Records a failure, and opens the breaker after several consecutive ones.
-    pub fn fail(&mut self, now: Time) {
-        self.stall(now);
+    pub fn record_failure(&mut self, now: Time) {
+        self.record_stall(now);
         self.consecutive_failures += 1;
         if self.consecutive_failures >= BREAKER_FAILURES {
             self.open_until = Some(now + BREAKER_OPEN_TIME);
@@ -362,13 +362,13 @@
     }
 
     /// Records that the server could not be reached.
-    pub fn miss(&mut self, now: Time) {
-        self.fail(now);
+    pub fn record_unreachable(&mut self, now: Time) {
+        self.record_failure(now);
         self.unreachable_at = Some(now);
     }
 
     /// Returns the state to report to other boxes; `None` if there was no recent activity.
-    pub fn usage(&self, backend: Short, now: Time) -> Option<Usage> {
+    pub fn usage(&self, backend: NameHash, now: Time) -> Option<Usage> {
         let recently = |at: Option<Time>, span| at.is_some_and(|at| now.since(at) <= span);
         let usage = Usage {
             backend,
@@ -392,7 +392,7 @@
     }
 
     /// Records that the requested pause was unreadable; returns true for the first one in a row.
-    pub fn push_back_oddly(&mut self) -> bool {
+    pub fn record_unreadable_pushback(&mut self) -> bool {
         !std::mem::replace(&mut self.unreadable_pushback, true)
     }
 
@@ -408,12 +408,12 @@
     }
 
     /// Records that the server had no free slot, since other boxes sent requests there too.
-    pub fn fill(&mut self, now: Time) {
+    pub fn record_full(&mut self, now: Time) {
         self.backoff_until = Some(now + FULL_BACKOFF);
     }
 
     /// Records that the server refused work.
-    pub fn refuse(&mut self, now: Time) {
+    pub fn record_refusal(&mut self, now: Time) {
         self.backoff_until = Some(now + REFUSAL_BACKOFF);
         self.ramp_from = Some(now + REFUSAL_BACKOFF);
     }
--- a/src/service.rs
+++ b/src/service.rs
@@ -126,7 +126,7 @@
 
 impl Service {
     /// Records how a request of `customer` ended.
-    pub fn note(&mut self, customer: &Customer, outcome: Outcome, now: Time) {
+    pub fn record(&mut self, customer: &Customer, outcome: Outcome, now: Time) {
         if let Some(minute) = self.0.get_mut(customer) {
             return minute.count(outcome, now);
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
     allotment::Tolerance,
     id::{BoxName, Domain, Region},
     ini::{Faults, Reader},
-    platform::Places,
+    platform::Topology,
     policy, retry,
     rollout::Exposure,
     size::{Core, Size},
@@ -166,7 +166,7 @@
     /// The platform's list of live and leaving boxes, if there is one.
     pub list: Option<SocketAddr>,
     /// The locations of failure domains on the users' platform.
-    pub places: Places,
+    pub places: Topology,
     /// The destination of trace spans (OTLP over HTTP); `None` discards them.
     pub trace: Option<SocketAddr>,
     /// The lowest level that is logged.
@@ -267,10 +267,10 @@
     let store_key = section.or("store_key", "petreldrum/config".to_owned());
     let list = section.optional("list");
     let domains: Vec<DomainEntry> = section.list("domains");
-    let places = Places {
+    let places = Topology {
         domains: domains.into_iter().map(|d| (d.0, d.1)).collect(),
-        hop: section.or("hop", Millis(0)),
-        beat: section.or("beat", Millis(0)),
+        round_trip: section.or("hop", Millis(0)),
+        heartbeat: section.or("beat", Millis(0)),
     };
     if interface == Interface::Platform && places.domains.is_empty() {
         section.fault("domains", "must list at least one failure domain");
--- a/src/sign.rs
+++ b/src/sign.rs
@@ -31,19 +31,24 @@
 }
 
 /// Appends a tag of `length` bytes to `body`. A tag for one purpose is not valid for another.
-pub(crate) fn seal(secret: &Secret, purpose: &str, mut body: Vec<u8>, length: usize) -> Vec<u8> {
+pub(crate) fn append_tag(
+    secret: &Secret,
+    purpose: &str,
+    mut body: Vec<u8>,
+    length: usize,
+) -> Vec<u8> {
     let tag = mac(secret, purpose, &body).finalize().into_bytes();
     body.extend_from_slice(&tag[..length]);
     body
 }
 
 /// Splits `bytes` into the body and its tag of `length` bytes; `None` if it is too short.
-pub(crate) fn split(bytes: &[u8], length: usize) -> Option<(&[u8], &[u8])> {
+pub(crate) fn split_tag(bytes: &[u8], length: usize) -> Option<(&[u8], &[u8])> {
     bytes.split_at_checked(bytes.len().checked_sub(length)?)
 }
 
 /// Reports whether `tag` is valid for `body`; compares in constant time.
-pub(crate) fn holds(secret: &Secret, purpose: &str, body: &[u8], tag: &[u8]) -> bool {
+pub(crate) fn verify_tag(secret: &Secret, purpose: &str, body: &[u8], tag: &[u8]) -> bool {
     mac(secret, purpose, body)
         .verify_truncated_left(tag)
         .is_ok()
--- a/src/size.rs
+++ b/src/size.rs
@@ -139,7 +139,7 @@
     /// 64 cores.
     const MAX: u16 = 25_600;
     /// A quarter of a core: the weight of a box whose size is not known.
-    pub const USUAL: Self = Self(100);
+    pub const DEFAULT: Self = Self(100);
 
     /// Returns a weight; `None` if the number is out of range.
     pub fn new(number: u16) -> Option<Self> {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -10,7 +10,7 @@
     content::Fingerprint,
     fleet::{Change, Revision, Rollouts},
     id::{BoxName, Domain, Incarnation, Region},
-    memory::news::Told,
+    memory::report::Corrections,
     quarantine::{Held, Strike},
     rollout::Count,
     settings::Secret,
@@ -53,9 +53,9 @@
 
 /// Name of a backend server, service or customer, shortened to 32 bits of its xxh3 hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Short(pub u32);
+pub struct NameHash(pub u32);
 
-impl Short {
+impl NameHash {
     /// Hashes a name.
     pub fn of(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32)
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Attempts in flight.
     pub busy: u32,
 }
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Attempts in flight there.
     pub busy: u32,
     /// Number of boxes that it answered recently.
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Use {
     /// The customer.
-    pub customer: Short,
+    pub customer: NameHash,
     /// Units of the allotment that were admitted.
     pub used: u32,
     /// Units that were requested.
@@ -98,7 +98,7 @@
 
 impl Use {
     /// Returns the use of `customer` among `uses`, which are sorted by customer.
-    pub fn find(uses: &[Use], customer: Short) -> Option<&Use> {
+    pub fn find(uses: &[Use], customer: NameHash) -> Option<&Use> {
         let at = uses.binary_search_by_key(&customer, |usage| usage.customer);
         at.ok().map(|at| &uses[at])
     }
@@ -108,11 +108,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// The service.
-    pub service: Short,
+    pub service: NameHash,
     /// Store revision of the roll-out order.
     pub order: Revision,
     /// The route.
-    pub route: Short,
+    pub route: NameHash,
     /// How long ago a box learned of the order.
     pub age: Millis,
     /// Answers of the previous releases.
@@ -127,7 +127,7 @@
 
 impl Trial {
     /// Returns the key by which rows are aggregated.
-    pub fn key(&self) -> (Short, Revision, Short) {
+    pub fn key(&self) -> (NameHash, Revision, NameHash) {
         (self.service, self.order, self.route)
     }
 }
@@ -152,7 +152,7 @@
 
 /// State of the platform's store as known to a hub from the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Progress {
     /// Last store revision known.
     pub revision: Revision,
     /// How long ago the store reported it.
@@ -161,7 +161,7 @@
 
 /// Update from the platform's store, sent by a hub.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct StoreUpdate {
     /// Revision that the changes are based on; `None` if they may be incomplete.
     pub since: Option<Revision>,
     /// Revision after the changes.
@@ -181,7 +181,7 @@
     /// only when sent to the hubs of another domain.
     pub shares: Vec<Share>,
     /// State of the platform's store.
-    pub store: Option<Word>,
+    pub store: Option<Progress>,
     /// Contents held back, for the boxes of its failure domain.
     pub held: Vec<Held>,
 }
@@ -235,7 +235,7 @@
 
 /// Box of another region that accepts relayed requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Door {
+pub struct Endpoint {
     /// Identity of the box.
     pub contact: Contact,
     /// Incarnation of the box.
@@ -248,7 +248,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
     /// Model or route.
-    pub service: Short,
+    pub service: NameHash,
     /// Slots of the servers that take work.
     pub slots: u32,
     /// Slots in use.
@@ -272,7 +272,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Used {
     /// The route.
-    pub route: Short,
+    pub route: NameHash,
     /// How long ago its last request arrived.
     pub age: Millis,
 }
@@ -287,7 +287,7 @@
     /// Store revision known in the region.
     pub revision: Revision,
     /// Some boxes that accept relayed requests, least loaded for their weight first.
-    pub doors: Vec<Door>,
+    pub endpoints: Vec<Endpoint>,
     /// Number of boxes in the region.
     pub boxes: u32,
     /// Whether its boxes are stopping by plan and none takes work.
@@ -314,7 +314,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Length of the prompt in tokens.
     pub prompt: u32,
     /// Tokens that the server has to read.
@@ -333,7 +333,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The engine.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Identity of the part.
     pub part: u64,
 }
@@ -349,7 +349,7 @@
     pub since: Millis,
     /// Gossip address of a box that probes the silent box first; `None` if the other boxes are
     /// notified as well.
-    pub asker: Option<SocketAddr>,
+    pub prober: Option<SocketAddr>,
 }
 
 /// Findings of a box about contents that may crash backend servers.
@@ -367,9 +367,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Hash of its name and incarnation.
-    pub life: Short,
+    pub life: NameHash,
     /// Requests per second; `None` if the server no longer announces a limit.
     pub rate: Option<Rate>,
     /// How long ago the limit was announced.
@@ -380,9 +380,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     /// The backend server.
-    pub backend: Short,
+    pub backend: NameHash,
     /// Hash of its name and incarnation.
-    pub life: Short,
+    pub life: NameHash,
     /// How long ago the last announcement was made.
     pub age: Millis,
 }
@@ -408,7 +408,7 @@
     /// failure domain to the hubs of another one.
     Tally(Tally),
     /// Sent by a hub to the boxes of its failure domain: an update from the platform's store.
-    News(News),
+    StoreUpdate(StoreUpdate),
     /// Sent within a region, and once to each other one: contents suspected of crashing backend
     /// servers, and contents cleared.
     Marks(Marks),
@@ -417,7 +417,7 @@
     /// Sent within a region: new departures of backend servers.
     Departures(Vec<Departure>),
     /// Sent within a region: corrections to earlier reports on engines' caches.
-    Kept(Told),
+    Corrections(Corrections),
 }
 
 impl Body {
@@ -432,11 +432,11 @@
             Self::Silent(_) => "silent",
             Self::Report(_) => "report",
             Self::Tally(_) => "tally",
-            Self::News(_) => "news",
+            Self::StoreUpdate(_) => "news",
             Self::Marks(_) => "marks",
             Self::Limits(_) => "limits",
             Self::Departures(_) => "departures",
-            Self::Kept(_) => "kept",
+            Self::Corrections(_) => "kept",
         }
     }
 }
@@ -479,13 +479,13 @@
     /// Encodes and signs the frame.
     pub fn encode(&self, secret: &Secret) -> Vec<u8> {
         let body = postcard::to_stdvec(self).expect("encoding a frame never fails");
-        sign::seal(secret, PURPOSE, body, TAG_BYTES)
+        sign::append_tag(secret, PURPOSE, body, TAG_BYTES)
     }
 
     /// Verifies the signature and decodes the frame.
     pub fn decode(secret: &Secret, bytes: &[u8]) -> Result<Self, Error> {
-        let (body, tag) = sign::split(bytes, TAG_BYTES).ok_or(Error::Unsigned)?;
-        if !sign::holds(secret, PURPOSE, body, tag) {
+        let (body, tag) = sign::split_tag(bytes, TAG_BYTES).ok_or(Error::Unsigned)?;
+        if !sign::verify_tag(secret, PURPOSE, body, tag) {
             return Err(Error::Unsigned);
         }
         postcard::from_bytes(body).map_err(|_| Error::Unreadable)
--- a/standin/src/crowd.rs
+++ b/standin/src/crowd.rs
@@ -8,7 +8,7 @@
 };
 
 use petreldrum::{
-    config::{Backend, Config, Draft},
+    config::{Backend, Builder, Config},
     id::{self, Incarnation},
     policy::Balanced,
     reducer::{
@@ -121,7 +121,7 @@
 impl Crowd {
     /// Boxes with an empty configuration, which just started.
     pub fn new(size: usize) -> Self {
-        Self::start(size, Arc::new(Draft::default().finish()), false, 1, 1)
+        Self::start(size, Arc::new(Builder::default().build()), false, 1, 1)
     }
 
     /// Boxes on a platform where backend servers register themselves, which just started.
@@ -270,7 +270,7 @@
             match number {
                 Some(number) if self.frozen.contains(&number) => self.mail.push((to, frame)),
                 Some(number) => {
-                    let effects = self.step(number, Event::Heard(frame));
+                    let effects = self.step(number, Event::Received(frame));
                     found.extend(effects.into_iter().map(|effect| (number, effect)));
                 }
                 None => {}
--- a/standin/src/measure/allotments.rs
+++ b/standin/src/measure/allotments.rs
@@ -158,11 +158,11 @@
             }
         }
         let own = accounts[number].sum(&customer, now);
-        let alone = |part| Knowledge::Heard {
+        let alone = |part| Knowledge::Reported {
             others: Sum::default(),
             part,
         };
-        let heard = Knowledge::Heard { others, part: 1.0 };
+        let heard = Knowledge::Reported { others, part: 1.0 };
         let draw: u64 = random.random();
         let (known, draw) = match way {
             Way::Fixed => (alone(1.0 / boxes as f64), 0),
--- a/standin/src/measure/control.rs
+++ b/standin/src/measure/control.rs
@@ -121,7 +121,7 @@
                 received.add(bytes.len());
                 let start = Instant::now();
                 let frame = Frame::decode(&secret, &bytes)?;
-                let effects = state.step(now, Event::Heard(frame));
+                let effects = state.step(now, Event::Received(frame));
                 spent += start.elapsed() + send(effects, &secret, &mut out);
             }
             let start = Instant::now();
--- a/standin/src/measure/decisions.rs
+++ b/standin/src/measure/decisions.rs
@@ -103,10 +103,13 @@
     state.step(Time(1), Event::Tick);
     for number in 1..size.region_boxes() {
         let frame = fleet::heartbeat(size, number * size.regions, 1, 0);
-        state.step(Time(1), Event::Heard(frame));
+        state.step(Time(1), Event::Received(frame));
     }
     for region in 1..size.regions {
-        state.step(Time(1), Event::Heard(fleet::digest(size, region, 1, false)));
+        state.step(
+            Time(1),
+            Event::Received(fleet::digest(size, region, 1, false)),
+        );
     }
     state
 }
@@ -215,7 +218,7 @@
             burst: 20.0,
             plain: 1,
         };
-        let known = Knowledge::Heard {
+        let known = Knowledge::Reported {
             others: Sum::default(),
             part: 1.0,
         };
@@ -247,7 +250,7 @@
         let before = resident();
         for number in 1..boxes {
             let frame = fleet::heartbeat(size, number, 1, 20);
-            state.step(Time(1), Event::Heard(frame));
+            state.step(Time(1), Event::Received(frame));
         }
         print("peer of the region", boxes, before);
         forget(state);
--- a/standin/src/measure/fleet.rs
+++ b/standin/src/measure/fleet.rs
@@ -12,7 +12,7 @@
         event::{Arrival, Credential, Event, Hop, Key, Source},
     },
     unit::{Millis, Time},
-    wire::{Body, Capacity, Contact, Digest, Door, Frame, Heartbeat, Load, Phase, Short},
+    wire::{Body, Capacity, Contact, Digest, Endpoint, Frame, Heartbeat, Load, NameHash, Phase},
 };
 
 /// A fleet's size.
@@ -139,7 +139,7 @@
 /// What the box with `number` says to its region in second `seq`.
 pub(super) fn heartbeat(size: Size, number: usize, seq: u64, loads: usize) -> Frame {
     let loads = (0..loads).map(|n| Load {
-        backend: Short::of(&format!("worker-{}", n * size.regions)),
+        backend: NameHash::of(&format!("worker-{}", n * size.regions)),
         busy: 1,
     });
     frame(
@@ -169,13 +169,13 @@
 
 /// What `region` says to another in second `seq`.
 pub(super) fn digest(size: Size, region: usize, seq: u64, spread: bool) -> Frame {
-    let doors = (0..3).map(|n| Door {
+    let doors = (0..3).map(|n| Endpoint {
         contact: contact(size, region + n * size.regions),
         incarnation: Incarnation(1 << 56),
         uptime: Time(seq * 1000),
     });
     let services = (0..size.models).map(|model| Capacity {
-        service: Short::of(&format!("model-{model}")),
+        service: NameHash::of(&format!("model-{model}")),
         slots: 200,
         busy: 100,
         first: Millis(100),
@@ -190,7 +190,7 @@
         region: name(format!("region-{region}")),
         version: Version(1),
         revision: Revision::first(1),
-        doors: doors.collect(),
+        endpoints: doors.collect(),
         services: services.collect(),
         uses: vec![],
         trials: Vec::new(),
--- a/standin/src/measure/limits.rs
+++ b/standin/src/measure/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use petreldrum::{
-    limit::{Limit, Word, share},
+    limit::{Announcement, Limit, share},
     unit::{Millis, Rate, Time},
 };
 use rand::{Rng as _, SeedableRng as _, rngs::StdRng};
@@ -52,8 +52,8 @@
     let mut limits: Vec<Limit> = Vec::new();
     for rank in 0..boxes {
         let mut known = Limit::default();
-        known.hear(Word::Most(Rate(limit)), Time(0), Time(0));
-        known.split(share(Rate(limit), rank, boxes), Time(0));
+        known.apply_announcement(Announcement::Rate(Rate(limit)), Time(0), Time(0));
+        known.set_share(share(Rate(limit), rank, boxes), Time(0));
         limits.push(known);
     }
     let chance = demand * limit * STEP as f64 / 1000.0;
--- a/standin/src/measure/start.rs
+++ b/standin/src/measure/start.rs
@@ -6,7 +6,7 @@
     config::Backend,
     fleet::{Change, Revision},
     gateway::pack,
-    platform::{Places, record},
+    platform::{Topology, record},
     reducer::{
         effect::{Effect, Follow},
         event::Event,
@@ -44,7 +44,7 @@
 
 fn config() -> Arc<petreldrum::config::Config> {
     let envelope = record::envelope(CONFIG.into()).expect("it reads");
-    Arc::new(record::config(&envelope, &Places::default()).expect("it reads"))
+    Arc::new(record::parse_config(&envelope, &Topology::default()).expect("it reads"))
 }
 
 fn server(number: usize, region: &str) -> Backend {
@@ -61,7 +61,7 @@
         Self {
             whole: pack::pack(&servers).map_or(0, |packed| packed.len()),
             crowd,
-            follows: vec![Follow::Alone; boxes],
+            follows: vec![Follow::Direct; boxes],
             revision: Revision::first(servers.len() as u64),
             servers,
             questions: 0,
@@ -78,7 +78,7 @@
             let boxes = self.crowd.boxes.len() as u64;
             for number in 0..self.follows.len() {
                 let reads = READING * number as u64 / boxes / TICK * TICK + TICK == now;
-                if reads && self.follows[number] != Follow::Rest {
+                if reads && self.follows[number] != Follow::Forwarded {
                     self.read(number);
                 }
             }
@@ -101,7 +101,10 @@
     fn read(&mut self, number: usize) {
         self.calls += self.servers.len().div_ceil(500);
         let (backends, doubt) = (self.servers.clone(), Millis(0));
-        let change = Change::List { backends, doubt };
+        let change = Change::List {
+            backends,
+            grace: doubt,
+        };
         let revision = self.revision;
         self.step(number, Event::Fleet { change, revision });
         self.step(number, Event::Synced(revision));
@@ -119,7 +122,7 @@
     fn tell(&mut self, changed: &[Backend]) {
         let revision = self.revision;
         for number in 0..self.follows.len() {
-            if self.follows[number] == Follow::Rest {
+            if self.follows[number] == Follow::Forwarded {
                 continue;
             }
             self.calls += 1;
@@ -141,7 +144,7 @@
         match effect {
             Effect::Inventory { .. } => self.questions += 1,
             Effect::Follow(follow) => {
-                if follow != Follow::Rest && self.follows[number] == Follow::Rest {
+                if follow != Follow::Forwarded && self.follows[number] == Follow::Forwarded {
                     self.read(number);
                 }
                 self.follows[number] = follow;
--- a/standin/src/releases.rs
+++ b/standin/src/releases.rs
@@ -99,7 +99,7 @@
             served: 0,
             refused: 0,
             ordered: Time(0),
-            follows: vec![Follow::Alone; boxes],
+            follows: vec![Follow::Direct; boxes],
             due: VecDeque::new(),
             runs: Vec::new(),
             relays: HashMap::new(),
@@ -199,7 +199,7 @@
         let backends = self.servers.iter().map(|s| s.backend.clone()).collect();
         let change = Change::List {
             backends,
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         self.step(number, Event::Rollouts { rollouts, revision });
         self.step(number, Event::Fleet { change, revision });
@@ -216,7 +216,7 @@
     pub fn restart(&mut self, number: usize) {
         self.runs.retain(|run| run.number != number);
         self.crowd.launch(number);
-        self.follows[number] = Follow::Alone;
+        self.follows[number] = Follow::Direct;
         if !self.store.down {
             self.read_all(number);
         }
@@ -239,7 +239,7 @@
         let name = self.servers[server].backend.name.clone();
         self.crash(server);
         let doubt = Millis(0);
-        let change = Change::Gone { name, doubt };
+        let change = Change::Removed { name, grace: doubt };
         let revision = Revision::first(0);
         self.tell(Event::Fleet { change, revision });
     }
--- a/standin/src/releases/play.rs
+++ b/standin/src/releases/play.rs
@@ -65,7 +65,7 @@
             let Some((_, number, event)) = self.due.pop_front() else {
                 return;
             };
-            if self.follows[number] != Follow::Rest {
+            if self.follows[number] != Follow::Forwarded {
                 self.step(number, event);
             }
         }
@@ -120,13 +120,13 @@
             },
             Effect::Follow(follow) => self.follows[number] = follow,
             Effect::FetchRoster { peer, since } => self.fetch(number, peer, since),
-            Effect::Settle {
+            Effect::WriteRollout {
                 order, standing, ..
             } => self.settle(&order, standing),
-            Effect::Knock { backend, .. } => {
+            Effect::Probe { backend, .. } => {
                 let server = self.servers.iter().find(|s| s.backend.name == backend);
                 let closed = !server.is_some_and(|s| s.up);
-                self.step(number, Event::Knocked { backend, closed });
+                self.step(number, Event::Probed { backend, closed });
             }
             _ => {}
         }
--- a/standin/src/releases/servers.rs
+++ b/standin/src/releases/servers.rs
@@ -4,7 +4,7 @@
 
 use petreldrum::{
     config::{Backend, Config},
-    platform::{Places, record},
+    platform::{Topology, record},
     unit::Millis,
 };
 
@@ -56,12 +56,12 @@
         let domain = format!("{region}-a").parse().expect("a name");
         (domain, region.parse().expect("a name"))
     });
-    let places = Places {
+    let places = Topology {
         domains: places.into(),
-        hop: Millis(110),
-        beat: Millis(1200),
+        round_trip: Millis(110),
+        heartbeat: Millis(1200),
     };
-    Arc::new(record::config(&envelope, &places).expect("it reads"))
+    Arc::new(record::parse_config(&envelope, &places).expect("it reads"))
 }
 
 pub(super) fn server(
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -9,16 +9,16 @@
     solo::{Solo, arrival, caller, news, sends},
 };
 use petreldrum::{
-    config::{Backend, Config, Draft, Labels, Profile, Version},
+    config::{Backend, Builder, Config, Labels, Profile, Version},
     fleet::{Change, Revision},
     id::Service,
-    limit::Word,
+    limit::Announcement,
     reducer::{
         effect::Effect,
         event::{Event, Source},
     },
     unit::{Millis, Rate, Time},
-    wire::{Body, Short},
+    wire::{Body, NameHash},
 };
 
 const RATE: f64 = 8.0;
@@ -49,16 +49,16 @@
         cold_rate: Some(Rate(rate)),
         ..Profile::default()
     };
-    let config = Draft {
+    let config = Builder {
         version: Version(99),
         regions: old.regions.clone(),
         customers: old.customers.clone(),
         routes: old.routes.clone(),
         selectors: old.selectors.clone(),
         profiles: [(service(), profile)].into(),
-        ..Draft::default()
+        ..Builder::default()
     };
-    Arc::new(config.finish())
+    Arc::new(config.build())
 }
 
 fn service() -> Service {
@@ -85,7 +85,7 @@
     };
     Change::List {
         backends: vec![server],
-        doubt: Millis(0),
+        grace: Millis(0),
     }
 }
 
@@ -133,7 +133,7 @@
     let capacity = digest
         .services
         .iter()
-        .find(|c| c.service == Short::of("read"));
+        .find(|c| c.service == NameHash::of("read"));
     capacity.map_or(0, |c| c.slots)
 }
 
@@ -159,7 +159,7 @@
     for (limit, most) in [(2.0, 2), (1000.0, RATE as usize + 1)] {
         let mut solo = solo();
         let (backend, sent) = ("one".parse().expect("a name"), solo.now);
-        let word = Word::Most(Rate(limit));
+        let word = Announcement::Rate(Rate(limit));
         solo.step(Event::Limited {
             backend,
             word,
--- a/tests/config_text.rs
+++ b/tests/config_text.rs
@@ -2,7 +2,7 @@
 
 use bolero::check;
 use petreldrum::{
-    config::{Ask, Config, Envelope, KeyHash, Matcher, Version},
+    config::{Config, Envelope, KeyHash, Matcher, Query, Version},
     ini::Faults,
     settings::Settings,
 };
@@ -116,9 +116,9 @@
                 list(*selector),
             );
             let config = parse(&text).expect("checks");
-            let ask = Ask {
+            let ask = Query {
                 host: None,
-                draw: 0,
+                random: 0,
                 customer: "a".parse().expect("a name"),
                 path: "/r/x".to_owned(),
                 model: None,
@@ -132,7 +132,7 @@
                 Ok(plan) => {
                     for (index, region) in regions.iter().enumerate() {
                         let region = region.parse().expect("a name");
-                        assert_eq!(plan.permits(&region), allowed(index));
+                        assert_eq!(plan.permits_region(&region), allowed(index));
                     }
                 }
             }
--- a/tests/content_news.rs
+++ b/tests/content_news.rs
@@ -84,14 +84,14 @@
         let knocked: Vec<id::Backend> = effects
             .into_iter()
             .filter_map(|e| match e {
-                Effect::Knock { backend, .. } => Some(backend),
+                Effect::Probe { backend, .. } => Some(backend),
                 _ => None,
             })
             .collect();
         assert_eq!(knocked.len(), 1);
         for backend in knocked {
             let closed = true;
-            self.crowd.step(number, Event::Knocked { backend, closed });
+            self.crowd.step(number, Event::Probed { backend, closed });
         }
     }
 
--- a/tests/departure_news.rs
+++ b/tests/departure_news.rs
@@ -13,7 +13,7 @@
     reducer::{effect::Effect, event::Event},
     settings::Secret,
     unit::Millis,
-    wire::{Body, Departure, Frame, Short},
+    wire::{Body, Departure, Frame, NameHash},
 };
 
 fn departing(backend: &Backend) -> Event {
@@ -25,12 +25,12 @@
 
 /// Another box tells of a server.
 fn told(backend: &Backend, seq: u64, age: u64) -> Event {
-    Event::Heard(Frame {
+    Event::Received(Frame {
         from: "other".parse().expect("a name"),
         incarnation: Incarnation(9),
         seq,
         body: Body::Departures(vec![Departure {
-            backend: Short::of(backend.name.as_str()),
+            backend: NameHash::of(backend.name.as_str()),
             life: backend.life(),
             age: Millis(age),
         }]),
@@ -80,9 +80,9 @@
     let mut world = World::new(vec![one.clone()]);
     world.pass(5000);
     world.step(departing(&one));
-    let gone = Change::Gone {
+    let gone = Change::Removed {
         name: one.name.clone(),
-        doubt: Millis(0),
+        grace: Millis(0),
     };
     world.step(news(gone));
     world.pass(20_000);
@@ -100,7 +100,7 @@
     assert!(roster.backends[0].leaving);
     // A box greets whoever it newly hears with a heartbeat.
     let other = World::at("other", vec![one.clone()]).first_heartbeat();
-    let effects = world.step(Event::Heard(other));
+    let effects = world.step(Event::Received(other));
     let rows = effects.iter().find_map(|effect| match effect {
         Effect::Gossip { frame, .. } => match &frame.body {
             Body::Heartbeat(beat) => Some(beat.departures.clone()),
@@ -144,8 +144,8 @@
     let secret: Secret = "0123456789abcdef".parse().expect("a secret");
     let size = |count: u32| {
         let departure = |number: u32| Departure {
-            backend: Short(u32::MAX - number),
-            life: Short(u32::MAX - number),
+            backend: NameHash(u32::MAX - number),
+            life: NameHash(u32::MAX - number),
             age: Millis(600_000),
         };
         let frame = Frame {
--- a/tests/engine_caches.rs
+++ b/tests/engine_caches.rs
@@ -92,7 +92,7 @@
         Effect::Gossip { frame, .. } => Some(frame.clone()),
         _ => None,
     });
-    world.step(Event::Heard(greeting.expect("a heartbeat")));
+    world.step(Event::Received(greeting.expect("a heartbeat")));
     let told = world.told("a", vec![SHARED, short]);
     assert_eq!(holdings(&told), 1);
 }
--- a/tests/engine_news.rs
+++ b/tests/engine_news.rs
@@ -15,13 +15,13 @@
     fleet::Change as Listing,
     id::Incarnation,
     memory::{
-        news::{Change, Gone, News, Told, Word},
         prompt::Part,
+        report::{Change, Corrections, EngineCorrections, Eviction, Report},
     },
     platform::record,
     reducer::{effect::Effect, event::Event},
     unit::{Millis, Time},
-    wire::{Body, Frame, Reading, Short},
+    wire::{Body, Frame, NameHash, Reading},
 };
 
 const OWN: Part = Part { id: 2, tokens: 500 };
@@ -46,16 +46,16 @@
     names
 }
 
-fn told(name: &str, news: News) -> Event {
-    Event::EngineNews {
+fn told(name: &str, news: Report) -> Event {
+    Event::EngineReport {
         backend: name.parse().expect("a name"),
         incarnation: engine(name, "ready", 0).incarnation,
         news,
     }
 }
 
-fn changes(changes: &[Change]) -> News {
-    News::Changes(changes.to_vec())
+fn changes(changes: &[Change]) -> Report {
+    Report::Changes(changes.to_vec())
 }
 
 /// What the engine has to read of a prompt with the shared part, and whether that is its own word.
@@ -66,7 +66,7 @@
 
 /// Another box of the region says something.
 fn heard(seq: u64, body: Body) -> Event {
-    Event::Heard(Frame {
+    Event::Received(Frame {
         from: contact("other", "atl", 40).name,
         incarnation: Incarnation(1),
         seq,
@@ -76,7 +76,7 @@
 
 fn reading(name: &str) -> Body {
     Body::Reading(Reading {
-        backend: Short::of(name),
+        backend: NameHash::of(name),
         prompt: UNREAD,
         tokens: UNREAD,
         fetched: 0,
@@ -90,7 +90,7 @@
 fn nothing_is_followed_where_nothing_is_offered() {
     let mut world = World::new(vec![engine("a", "ready", 0)]);
     assert!(followed(&mut world, 5000).is_empty());
-    world.step(told("a", News::All(vec![SHARED])));
+    world.step(told("a", Report::All(vec![SHARED])));
     assert_eq!(unread(&mut world), (UNREAD, false));
 }
 
@@ -125,7 +125,7 @@
     for (end, expected) in [(false, OWN.tokens), (true, UNREAD)] {
         let mut world = world(vec![engine("a", "ready", 0)]);
         followed(&mut world, 500);
-        world.step(told("a", News::All(vec![SHARED])));
+        world.step(told("a", Report::All(vec![SHARED])));
         world.pass(1500);
         let change = if end {
             Change::Gone(SHARED.id)
@@ -142,7 +142,7 @@
 fn old_end_does_not_undo_a_newer_reading() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     followed(&mut world, 500);
-    world.step(told("a", News::All(vec![SHARED])));
+    world.step(told("a", Report::All(vec![SHARED])));
     world.pass(3000);
     world.step(heard(1, reading("a")));
     world.pass(300);
@@ -158,7 +158,10 @@
         world.now = Time(10);
         world.step(heard(1, reading("a")));
         world.now = Time(2010);
-        world.step(heard(2, Body::Kept(word("a", &[], &[(SHARED.id, age)]))));
+        world.step(heard(
+            2,
+            Body::Corrections(word("a", &[], &[(SHARED.id, age)])),
+        ));
         assert_eq!(unread(&mut world), (expected, true), "age {age}");
     }
 }
@@ -168,7 +171,7 @@
 fn parts_that_were_never_read_are_dropped() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     followed(&mut world, 500);
-    world.step(told("a", News::All(vec![])));
+    world.step(told("a", Report::All(vec![])));
     world.step(heard(1, reading("a")));
     for _ in 0..8 {
         world.pass(1000);
@@ -182,9 +185,9 @@
 fn a_gap_is_made_good_by_the_list() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     followed(&mut world, 500);
-    world.step(told("a", News::All(vec![SHARED])));
+    world.step(told("a", Report::All(vec![SHARED])));
     world.pass(2000);
-    world.step(told("a", News::Gap));
+    world.step(told("a", Report::Gap));
     world.step(told("a", changes(&[Change::Kept(OWN)])));
     let at = world.now;
     let send = world.prompt(&[SHARED, OWN]).remove(0);
@@ -193,7 +196,7 @@
         "changes after a gap are not its whole word"
     );
     world.now = at + Millis(1500);
-    world.step(told("a", News::All(vec![])));
+    world.step(told("a", Report::All(vec![])));
     world.pass(1500);
     world.step(told("a", changes(&[])));
     assert_eq!(unread(&mut world), (UNREAD, true));
@@ -204,7 +207,7 @@
 fn a_silent_engine_is_guessed() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     followed(&mut world, 500);
-    world.step(told("a", News::All(vec![SHARED])));
+    world.step(told("a", Report::All(vec![SHARED])));
     world.pass(5000);
     assert_eq!(unread(&mut world), (OWN.tokens, false));
 }
@@ -216,23 +219,23 @@
     followed(&mut world, 500);
     world.step(news(Listing::Put(life("a", "ready", 0, 9))));
     assert_eq!(followed(&mut world, 500), ["a"], "it is followed anew");
-    world.step(Event::EngineNews {
+    world.step(Event::EngineReport {
         backend: "a".parse().expect("a name"),
         incarnation: life("a", "ready", 0, 5).incarnation,
-        news: News::All(vec![SHARED]),
+        news: Report::All(vec![SHARED]),
     });
     assert_eq!(unread(&mut world), (UNREAD, false));
 }
 
-fn word(name: &str, kept: &[u64], gone: &[(u64, u64)]) -> Told {
-    let gone = gone.iter().map(|(part, age)| Gone {
+fn word(name: &str, kept: &[u64], gone: &[(u64, u64)]) -> Corrections {
+    let gone = gone.iter().map(|(part, age)| Eviction {
         part: *part,
         age: Millis(*age),
     });
-    Told {
-        lasts: Millis(9000),
-        engines: vec![Word {
-            backend: Short::of(name),
+    Corrections {
+        valid_for: Millis(9000),
+        engines: vec![EngineCorrections {
+            backend: NameHash::of(name),
             life: engine(name, "ready", 0).life(),
             kept: kept.to_vec(),
             gone: gone.collect(),
@@ -251,7 +254,8 @@
 impl Region {
     fn new(boxes: usize, engines: usize) -> Self {
         let envelope = record::envelope(TELLING.into()).expect("it reads");
-        let config: Arc<Config> = Arc::new(record::config(&envelope, &places()).expect("it reads"));
+        let config: Arc<Config> =
+            Arc::new(record::parse_config(&envelope, &places()).expect("it reads"));
         let mut crowd = Crowd::on_platform(boxes, config);
         let backends = |n| Backend {
             region: "perth".parse().expect("a name"),
@@ -259,7 +263,7 @@
         };
         let list = Listing::List {
             backends: (0..engines).map(backends).collect(),
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         for number in 0..boxes {
             crowd.step(number, news(list.clone()));
@@ -275,7 +279,7 @@
             for (number, effect) in self.crowd.tick() {
                 match effect {
                     Effect::FollowEngine { backend, .. } => {
-                        let all = told(backend.as_str(), News::All(vec![SHARED]));
+                        let all = told(backend.as_str(), Report::All(vec![SHARED]));
                         self.crowd.step(number, all);
                         self.follows
                             .entry(backend.to_string())
@@ -419,35 +423,37 @@
     check!()
         .with_type::<(u64, Vec<Row>)>()
         .for_each(|(lasts, rows)| {
-            let words = rows.iter().map(|(backend, life, kept, gone)| Word {
-                backend: Short(*backend),
-                life: Short(*life),
-                kept: kept.clone(),
-                gone: gone
-                    .iter()
-                    .map(|(part, age)| Gone {
-                        part: *part,
-                        age: Millis(*age),
-                    })
-                    .collect(),
-            });
-            let mut engines: Vec<Word> = words.collect();
+            let words = rows
+                .iter()
+                .map(|(backend, life, kept, gone)| EngineCorrections {
+                    backend: NameHash(*backend),
+                    life: NameHash(*life),
+                    kept: kept.clone(),
+                    gone: gone
+                        .iter()
+                        .map(|(part, age)| Eviction {
+                            part: *part,
+                            age: Millis(*age),
+                        })
+                        .collect(),
+                });
+            let mut engines: Vec<EngineCorrections> = words.collect();
             if let Some(first) = engines.first_mut() {
-                first.backend = Short::of("a");
+                first.backend = NameHash::of("a");
                 first.life = engine("a", "ready", 0).life();
             }
-            let body = Body::Kept(Told {
-                lasts: Millis(*lasts),
+            let body = Body::Corrections(Corrections {
+                valid_for: Millis(*lasts),
                 engines,
             });
-            let Event::Heard(frame) = heard(1, body) else {
+            let Event::Received(frame) = heard(1, body) else {
                 return;
             };
             let bytes = frame.encode(&secret);
             assert_eq!(Frame::decode(&secret, &bytes), Ok(frame.clone()));
             let mut world = world(vec![engine("a", "ready", 0)]);
             world.pass(1000);
-            world.step(Event::Heard(frame));
+            world.step(Event::Received(frame));
             world.pass(500);
             let send = world.prompt(&[SHARED, OWN]).remove(0);
             assert_eq!(target(&send), "a");
--- a/tests/failed_servers.rs
+++ b/tests/failed_servers.rs
@@ -7,11 +7,11 @@
     detector::Detector,
     reducer::{
         effect::{Effect, Note, Send, Target},
-        event::{Cause, Event, Sign},
+        event::{Activity, Cause, Event},
     },
     unit::{Millis, Time},
     verdict::Verdict,
-    wire::Short,
+    wire::NameHash,
 };
 
 const TICK: Millis = Millis(100);
@@ -54,18 +54,18 @@
 fn listen(solo: &mut Solo, millis: u64, alive: &[&str]) -> Vec<Effect> {
     let mut effects = Vec::new();
     for _ in 0..millis / TICK.0 {
-        let sign = |name: &&str| Sign {
-            backend: Short::of(name),
+        let sign = |name: &&str| Activity {
+            backend: NameHash::of(name),
             pause: Millis(40),
         };
-        effects.extend(solo.step(Event::Alive(alive.iter().map(sign).collect())));
+        effects.extend(solo.step(Event::StreamsActive(alive.iter().map(sign).collect())));
         effects.extend(solo.pass(TICK.0));
     }
     effects
 }
 
 fn left(effects: &[Effect]) -> usize {
-    let leave = |e: &&Effect| matches!(e, Effect::Leave { .. });
+    let leave = |e: &&Effect| matches!(e, Effect::DetachStream { .. });
     effects.iter().filter(leave).count()
 }
 
@@ -82,7 +82,8 @@
     assert!(again.iter().all(|send| place(send) == "two"));
     let order = |find: fn(&Effect) -> bool| effects.iter().position(find);
     assert!(
-        order(|e| matches!(e, Effect::Leave { .. })) < order(|e| matches!(e, Effect::Send(_))),
+        order(|e| matches!(e, Effect::DetachStream { .. }))
+            < order(|e| matches!(e, Effect::Send(_))),
         "the first is stopped before the second starts"
     );
     assert!(effects.iter().any(|e| matches!(e, Effect::CloseIdle(_))));
@@ -125,8 +126,8 @@
     let mut solo = Solo::new(&text(STREAM));
     begin_streams(&mut solo);
     listen(&mut solo, 900, &["two"]);
-    solo.step(Event::Alive(vec![Sign {
-        backend: Short::of("one"),
+    solo.step(Event::StreamsActive(vec![Activity {
+        backend: NameHash::of("one"),
         pause: Millis(900),
     }]));
     let targets = (0..8).map(|_| sends(&solo.arrive("a", None)).remove(0));
@@ -138,7 +139,7 @@
 fn patience_follows_pauses() {
     let waited = |detector: &mut Detector, streams| {
         (1..100)
-            .find(|_| detector.wait(TICK, streams, Time(1000)))
+            .find(|_| detector.record_silence(TICK, streams, Time(1000)))
             .map(|ticks| ticks * 100)
     };
     assert_eq!(waited(&mut Detector::default(), 5), Some(400));
@@ -154,10 +155,13 @@
     );
     assert_eq!(waited(&mut Detector::default(), 0), None, "nobody listens");
     let mut slow = Detector::default();
-    slow.hear(Millis(1000), Time(1000));
+    slow.record_data(Millis(1000), Time(1000));
     assert_eq!(waited(&mut slow, 5), Some(1600));
-    assert!(slow.hear(Millis(0), Time(1100)), "it was taken for failed");
-    assert!(!slow.hear(Millis(0), Time(1200)));
+    assert!(
+        slow.record_data(Millis(0), Time(1100)),
+        "it was taken for failed"
+    );
+    assert!(!slow.record_data(Millis(0), Time(1200)));
 }
 
 #[test]
@@ -216,7 +220,7 @@
     assert!(!moved, "its answer may begin after 400 ms");
     let (request, attempt) = (probe.request, probe.attempt);
     let effects = solo.step(Event::Begun { request, attempt });
-    let regained = |e: &Effect| matches!(e, Effect::Noted(Note::Regained(_)));
+    let regained = |e: &Effect| matches!(e, Effect::Noted(Note::Recovered(_)));
     assert!(
         effects.iter().any(regained),
         "it is well, and the log says so"
--- a/tests/fleet_changes.rs
+++ b/tests/fleet_changes.rs
@@ -2,10 +2,10 @@
 
 use petreldrum::{
     config::{Backend, Labels},
-    fleet::{Change, DOUBT, Fleet},
+    fleet::{Change, Fleet, OUTAGE_GRACE},
     id::Domain,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 const NO_DOUBT: Millis = Millis(0);
@@ -32,7 +32,7 @@
 fn list(names: &[&str], doubt: Millis) -> Change {
     Change::List {
         backends: names.iter().map(|name| backend(name, 0)).collect(),
-        doubt,
+        grace: doubt,
     }
 }
 
@@ -47,9 +47,9 @@
 fn vanished_leaves_at_once() {
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a", "b"], NO_DOUBT), Time(0));
-    let gone = Change::Gone {
+    let gone = Change::Removed {
         name: "a".parse().expect("a name"),
-        doubt: NO_DOUBT,
+        grace: NO_DOUBT,
     };
     fleet.apply(gone, Time(10));
     assert_eq!(serving(&fleet), ["b"]);
@@ -62,10 +62,10 @@
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a", "b"], NO_DOUBT), Time(0));
     // The store is back and has dropped both; one registers again.
-    fleet.apply(list(&[], DOUBT), Time(1000));
+    fleet.apply(list(&[], OUTAGE_GRACE), Time(1000));
     assert_eq!(serving(&fleet), ["a", "b"], "an outage takes nobody out");
     fleet.apply(Change::Put(backend("a", 0)), Time(2000));
-    let end = Time(1000) + DOUBT;
+    let end = Time(1000) + OUTAGE_GRACE;
     assert!(!fleet.sweep(Time(end.0 - 1)));
     assert!(fleet.sweep(end), "the other is gone in the end");
     assert_eq!(serving(&fleet), ["a"]);
@@ -100,7 +100,7 @@
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a"], NO_DOUBT), Time(0));
     let domain: Domain = "atl-a".parse().expect("a name");
-    fleet.chill(&domain, |_| Millis(3000), Time(5000));
+    fleet.mark_cold(&domain, |_| Millis(3000), Time(5000));
     let name = "a".parse().expect("a name");
     assert!(fleet.is_cold(&name, Time(7999)));
     assert!(!fleet.is_cold(&name, Time(8000)));
@@ -142,7 +142,7 @@
         .with_type::<Vec<Told>>()
         .for_each(|all: &Vec<Told>| {
             let mut fleet = Fleet::default();
-            let doubt = |on: &bool| if *on { DOUBT } else { NO_DOUBT };
+            let doubt = |on: &bool| if *on { OUTAGE_GRACE } else { NO_DOUBT };
             for (second, told) in all.iter().enumerate() {
                 let now = Time(1000 * second as u64);
                 let change = match told {
@@ -154,13 +154,13 @@
                         leaving: *leaving,
                         ..any_backend(*name, *service)
                     }),
-                    Told::Gone { name, doubt: on } => Change::Gone {
+                    Told::Gone { name, doubt: on } => Change::Removed {
                         name: any_backend(*name, 0).name,
-                        doubt: doubt(on),
+                        grace: doubt(on),
                     },
                     Told::List { names, doubt: on } => Change::List {
                         backends: names.iter().map(|n| any_backend(*n, *n / 7)).collect(),
-                        doubt: doubt(on),
+                        grace: doubt(on),
                     },
                     Told::Sweep => {
                         fleet.sweep(now);
@@ -190,7 +190,7 @@
         assert_eq!(told, !expected.is_empty(), "services without servers go");
     }
     for backend in fleet.iter() {
-        let short = Short::of(backend.name.as_str());
+        let short = NameHash::of(backend.name.as_str());
         assert_eq!(fleet.long(short), Some(&backend.name));
     }
 }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -33,7 +33,7 @@
     let entry = br#"{"service":"s","address":"10.0.0.1:1","zone":"atl-a","slots":12,
         "state":"ready","coldRemainingMs":0}"#;
     let name = format!("engine-{number}").parse().expect("a name");
-    let backend = record::server(&name, entry, &places()).expect("it reads");
+    let backend = record::parse_server(&name, entry, &places()).expect("it reads");
     Backend {
         region: region.parse().expect("a name"),
         ..backend
@@ -42,7 +42,7 @@
 
 fn crowd_config() -> Arc<Config> {
     let envelope = record::envelope(CONFIG.into()).expect("it reads");
-    Arc::new(record::config(&envelope, &places()).expect("it reads"))
+    Arc::new(record::parse_config(&envelope, &places()).expect("it reads"))
 }
 
 fn crowd() -> Crowd {
@@ -213,7 +213,7 @@
 fn whole(numbers: Range<usize>) -> Change {
     Change::List {
         backends: numbers.map(|n| engine(n, "perth")).collect(),
-        doubt: Millis(0),
+        grace: Millis(0),
     }
 }
 
@@ -221,9 +221,9 @@
 fn change(what: u8, which: u8) -> Change {
     let which = usize::from(which % 8);
     match what % 4 {
-        0 => Change::Gone {
+        0 => Change::Removed {
             name: engine(which, "perth").name,
-            doubt: Millis(0),
+            grace: Millis(0),
         },
         1 => whole(which..8),
         _ => Change::Put(Backend {
--- a/tests/harness/engines.rs
+++ b/tests/harness/engines.rs
@@ -54,7 +54,7 @@
             "state":"{state}","coldRemainingMs":{cold},"born":{born}}}"#
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::parse_server(&name, entry.as_bytes(), &places()).expect("it reads")
 }
 
 impl World {
@@ -93,12 +93,12 @@
             requests: 0,
         };
         let envelope = record::envelope(config.into()).expect("it reads");
-        let config = Arc::new(record::config(&envelope, &places()).expect("it reads"));
+        let config = Arc::new(record::parse_config(&envelope, &places()).expect("it reads"));
         let source = Source::Store;
         world.step(Event::Offered { config, source });
         let list = Change::List {
             backends: engines,
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         world.step(news(list));
         world
@@ -124,7 +124,7 @@
 
     pub fn told(&mut self, name: &str, parts: Vec<Part>) -> Vec<Effect> {
         let backend = name.parse().expect("a name");
-        self.step(Event::Cached { backend, parts })
+        self.step(Event::Inventory { backend, parts })
     }
 
     /// Sends a request whose prompt has these parts; the last one is its own.
--- a/tests/harness/limits.rs
+++ b/tests/harness/limits.rs
@@ -5,7 +5,7 @@
 use petreldrum::{
     config::{Config, Envelope, Version},
     id,
-    limit::Word,
+    limit::Announcement,
     reducer::{
         effect::{Effect, Reply, Send, Target},
         event::Event,
@@ -204,8 +204,10 @@
         };
         let server = self.names.iter().position(|n| n == name);
         let limit = self.limits[server.expect("a known server")];
-        let word = limit.map_or(Word::Silent, |limit| Word::Most(Rate(limit)));
-        if word != Word::Silent || run.send.basis.limit.is_some() {
+        let word = limit.map_or(Announcement::Absent, |limit| {
+            Announcement::Rate(Rate(limit))
+        });
+        if word != Announcement::Absent || run.send.basis.limit.is_some() {
             let backend = name.clone();
             let sent = run.sent;
             let event = Event::Limited {
--- a/tests/harness/oracle.rs
+++ b/tests/harness/oracle.rs
@@ -253,7 +253,7 @@
                 peer: from,
                 version,
             } => self.fetch(index, from, version),
-            Effect::Abort { request, .. } | Effect::Leave { request, .. } => {
+            Effect::Abort { request, .. } | Effect::DetachStream { request, .. } => {
                 self.slots[index].open.remove(&request);
             }
             Effect::Boxes { .. }
@@ -265,21 +265,21 @@
             | Effect::FetchRoster { .. }
             | Effect::Follow(_)
             | Effect::Noted(_)
-            | Effect::Forget(_)
+            | Effect::DeleteAnswer(_)
             | Effect::Watch(_)
-            | Effect::Adopted(_)
+            | Effect::ConfigApplied(_)
             | Effect::Broken { .. }
             | Effect::Repeat(_)
-            | Effect::Knock { .. }
+            | Effect::Probe { .. }
             | Effect::Quarantine(_)
-            | Effect::Settle { .. }
+            | Effect::WriteRollout { .. }
             | Effect::Rollout(_)
-            | Effect::Keep(_)
-            | Effect::Discard(_)
+            | Effect::StoreHeld(_)
+            | Effect::RemoveHeld(_)
             | Effect::Move(_)
-            | Effect::Free(_)
-            | Effect::Close { .. }
-            | Effect::Carried(_)
+            | Effect::FreeCopy(_)
+            | Effect::CompleteStream { .. }
+            | Effect::MoveEnded(_)
             | Effect::Alarm(_) => {}
         }
     }
@@ -308,7 +308,7 @@
             pin: pin::Pin {
                 peer: peer(named),
                 incarnation: Incarnation(slot.life),
-                expiry: uptime + pin::LIFE,
+                expiry: uptime + pin::PIN_LIFETIME,
             },
             digest: pin::Digest::of(&format!("key-{number}")),
             content: number,
@@ -358,7 +358,7 @@
             .collect();
         if let Some((request, _)) = waiting.iter().nth(pick % waiting.len().max(1)) {
             self.slots[index].left.insert(*request);
-            self.tell(index, Event::Gone(id::Request(*request)));
+            self.tell(index, Event::Disconnected(id::Request(*request)));
             let holds = self.slots[index].state.holds(id::Request(*request));
             if !holds && !self.slots[index].frozen {
                 self.slots[index].clients.remove(&id::Request(*request));
@@ -410,7 +410,7 @@
                 let listed = self.listed.clone();
                 self.tell(y % BOXES, Event::Listed(listed));
             }
-            23 if a > 250 => self.advance(pin::LIFE.0),
+            23 if a > 250 => self.advance(pin::PIN_LIFETIME.0),
             _ => self.settle(1),
         }
     }
@@ -446,7 +446,7 @@
                 .count();
             assert_eq!(owed, 0, "box {index} owes answers");
         }
-        self.advance(pin::LIFE.0 + 10_000);
+        self.advance(pin::PIN_LIFETIME.0 + 10_000);
         self.settle(40);
         for (index, slot) in self.slots.iter().enumerate() {
             assert_eq!(slot.state.keys(), 0, "box {index} remembers keys");
--- a/tests/harness/oracle/delivery.rs
+++ b/tests/harness/oracle/delivery.rs
@@ -23,7 +23,7 @@
         let credential = match hop {
             Hop::Direct => Credential::Key(key_hash),
             Hop::Relay(_) | Hop::Pass => {
-                Credential::Vouched(format!("c{}", wish.caller).parse().expect("a name"))
+                Credential::Verified(format!("c{}", wish.caller).parse().expect("a name"))
             }
         };
         let arrival = Arrival {
@@ -74,7 +74,7 @@
                 }
                 let apart = self.cut && region(to) != region(from);
                 if !apart && how % 8 != 6 {
-                    self.tell(to, Event::Heard(frame));
+                    self.tell(to, Event::Received(frame));
                 }
             }
             Item::Attempt {
--- a/tests/harness/solo.rs
+++ b/tests/harness/solo.rs
@@ -6,7 +6,7 @@
     config::{Config, Envelope, KeyHash, Version},
     fleet::{Change, Revision},
     id::{self, Domain, Incarnation},
-    platform::Places,
+    platform::Topology,
     policy::Balanced,
     reducer::{
         Identity, State,
@@ -15,18 +15,18 @@
     },
     unit::{Millis, Time},
     verdict::Verdict,
-    wire::{Absence, Body, Capacity, Digest, Door, Frame, Short, Used},
+    wire::{Absence, Body, Capacity, Digest, Endpoint, Frame, NameHash, Used},
 };
 
 pub use petreldrum_standin::crowd::contact;
 
 /// Two regions of one failure domain each.
-pub fn places() -> Places {
+pub fn places() -> Topology {
     let domain = |d: &str, r: &str| (d.parse().expect("a name"), r.parse().expect("a name"));
-    Places {
+    Topology {
         domains: [domain("atl-a", "atl"), domain("mcn-a", "mcn")].into(),
-        hop: Millis(110),
-        beat: Millis(1200),
+        round_trip: Millis(110),
+        heartbeat: Millis(1200),
     }
 }
 
@@ -178,7 +178,7 @@
             age: Millis(500),
         };
         let used = |route: &&str| Used {
-            route: Short::of(route),
+            route: NameHash::of(route),
             age: Millis(300),
         };
         let absences = regions.iter().map(absence).collect();
@@ -230,13 +230,13 @@
     }
 
     fn bunbury(&self, slots: u32, busy: u32, names: &[&str]) -> Digest {
-        let door = |(index, name): (usize, &&str)| Door {
+        let door = |(index, name): (usize, &&str)| Endpoint {
             contact: contact(name, "bunbury", 20 + 10 * index as u16),
             incarnation: Incarnation(1),
             uptime: Time(0),
         };
         let capacity = Capacity {
-            service: Short::of("read"),
+            service: NameHash::of("read"),
             slots,
             busy,
             first: Millis(10),
@@ -251,7 +251,7 @@
             region: "bunbury".parse().expect("a name"),
             version: Version(self.version),
             revision: Revision::first(0),
-            doors: names.iter().enumerate().map(door).collect(),
+            endpoints: names.iter().enumerate().map(door).collect(),
             services: vec![capacity],
             uses: vec![],
             trials: Vec::new(),
@@ -267,7 +267,7 @@
             seq: self.seq,
             body,
         };
-        self.step(Event::Heard(frame));
+        self.step(Event::Received(frame));
     }
 
     pub fn arrive(&mut self, caller: &str, left: Option<u64>) -> Vec<Effect> {
--- a/tests/head_checks.rs
+++ b/tests/head_checks.rs
@@ -25,14 +25,14 @@
 fn holds_as_it_was_sent() {
     let mut sent = response(&FIELDS);
     Checksum::add(&mut sent);
-    assert!(Checksum::holds(&sent));
+    assert!(Checksum::matches(&sent));
     assert_eq!(sent.headers()["content-length"], "5");
     // The HTTP library adds these.
     for name in ["date", "connection"] {
         sent.headers_mut()
             .insert(name, "x".parse().expect("a value"));
     }
-    assert!(Checksum::holds(&sent));
+    assert!(Checksum::matches(&sent));
 }
 
 #[test]
@@ -48,13 +48,13 @@
         };
         let mut lost = copy();
         lost.headers_mut().remove(&name);
-        assert!(!Checksum::holds(&lost), "without {name}");
+        assert!(!Checksum::matches(&lost), "without {name}");
         let mut changed = copy();
         changed
             .headers_mut()
             .insert(&name, "1".parse().expect("a value"));
-        assert!(!Checksum::holds(&changed), "another {name}");
+        assert!(!Checksum::matches(&changed), "another {name}");
     }
     *sent.status_mut() = hyper::StatusCode::ACCEPTED;
-    assert!(!Checksum::holds(&sent));
+    assert!(!Checksum::matches(&sent));
 }
--- a/tests/held_contents.rs
+++ b/tests/held_contents.rs
@@ -16,13 +16,13 @@
     },
     unit::Millis,
     verdict::Verdict,
-    wire::{Body, Frame, Marks, Short},
+    wire::{Body, Frame, Marks, NameHash},
 };
 
 fn strike(content: Fingerprint, life: u32) -> Strike {
     Strike {
         content,
-        life: Short(life),
+        life: NameHash(life),
         weight: weight(None),
     }
 }
@@ -50,7 +50,7 @@
 
 fn knocks(effects: &[Effect]) -> Vec<id::Backend> {
     let knock = |e: &Effect| match e {
-        Effect::Knock { backend, .. } => Some(backend.clone()),
+        Effect::Probe { backend, .. } => Some(backend.clone()),
         _ => None,
     };
     effects.iter().filter_map(knock).collect()
@@ -59,7 +59,7 @@
 fn knocked(solo: &mut Solo, backends: Vec<id::Backend>, closed: bool) -> Vec<Effect> {
     let events = backends
         .into_iter()
-        .map(|backend| Event::Knocked { backend, closed });
+        .map(|backend| Event::Probed { backend, closed });
     events.flat_map(|event| solo.step(event)).collect()
 }
 
@@ -183,7 +183,7 @@
 
 /// Another box tells of contents.
 fn hear(solo: &mut Solo, seq: u64, strikes: Vec<Strike>, cleared: Vec<Fingerprint>) -> Vec<Effect> {
-    solo.step(Event::Heard(Frame {
+    solo.step(Event::Received(Frame {
         from: "other".parse().expect("a name"),
         incarnation: Incarnation(1),
         seq,
@@ -242,7 +242,7 @@
     assert_eq!(digest.held.len(), 1);
     digest.region = "bunbury".parse().expect("a name");
     let mut young = solo();
-    young.step(Event::Heard(Frame {
+    young.step(Event::Received(Frame {
         from: "far".parse().expect("a name"),
         incarnation: Incarnation(1),
         seq: 1,
--- a/tests/limit_news.rs
+++ b/tests/limit_news.rs
@@ -10,7 +10,7 @@
     config::Backend,
     fleet::Change,
     id::Incarnation,
-    limit::Word,
+    limit::Announcement,
     reducer::{
         effect::Effect,
         event::Event,
@@ -18,7 +18,7 @@
     },
     settings::Secret,
     unit::{Millis, Rate},
-    wire::{Body, Frame, Limit, Short},
+    wire::{Body, Frame, Limit, NameHash},
 };
 
 struct Scene {
@@ -37,7 +37,7 @@
     /// Another box tells of a limit.
     fn tell(&mut self, server: &Backend, rate: Option<f64>, age: u64) -> Vec<Effect> {
         self.tell_all(vec![Limit {
-            backend: Short::of(server.name.as_str()),
+            backend: NameHash::of(server.name.as_str()),
             life: server.life(),
             rate: rate.map(Rate),
             age: Millis(age),
@@ -52,7 +52,7 @@
             seq: self.seq,
             body: Body::Limits(limits),
         };
-        self.world.step(Event::Heard(frame))
+        self.world.step(Event::Received(frame))
     }
 
     /// What this box believes of a server.
@@ -134,7 +134,7 @@
     let one = engine("one", "ready", 0);
     let mut scene = Scene::new(vec![one.clone()]);
     let mut notes = 0;
-    for word in [Word::Most(Rate(1.0)), Word::Unreadable] {
+    for word in [Announcement::Rate(Rate(1.0)), Announcement::Unreadable] {
         for _ in 0..20 {
             scene.world.now = scene.world.now + Millis(10);
             let (backend, sent) = (one.name.clone(), scene.world.now);
@@ -178,8 +178,8 @@
     let secret: Secret = "0123456789abcdef".parse().expect("a secret");
     let size = |count: u32| {
         let limit = |number: u32| Limit {
-            backend: Short(u32::MAX - number),
-            life: Short(u32::MAX - number),
+            backend: NameHash(u32::MAX - number),
+            life: NameHash(u32::MAX - number),
             rate: Some(Rate(3.9)),
             age: Millis(4000),
         };
--- a/tests/limit_words.rs
+++ b/tests/limit_words.rs
@@ -2,12 +2,12 @@
 
 use petreldrum::{
     id::BoxName,
-    limit::{Limit, Word, Worth, share},
+    limit::{Announcement, Freshness, Limit, share},
     unit::{Millis, Rate, Time},
 };
 
-fn read(fields: &[&str]) -> Word {
-    Word::read(fields.iter().map(|field| field.as_bytes()))
+fn read(fields: &[&str]) -> Announcement {
+    Announcement::read(fields.iter().map(|field| field.as_bytes()))
 }
 
 fn teller() -> BoxName {
@@ -16,7 +16,7 @@
 
 #[test]
 fn numbers_are_read_and_nothing_else() {
-    assert_eq!(read(&[]), Word::Silent);
+    assert_eq!(read(&[]), Announcement::Absent);
     for (text, rate) in [
         ("1", 1.0),
         (" 3.9 ", 3.9),
@@ -27,15 +27,22 @@
         ("4, 2.5", 2.5),
         ("4, x", 4.0),
     ] {
-        assert_eq!(read(&[text]), Word::Most(Rate(rate)), "{text:?}");
+        assert_eq!(read(&[text]), Announcement::Rate(Rate(rate)), "{text:?}");
     }
-    assert_eq!(read(&["5", "2"]), Word::Most(Rate(2.0)), "the least holds");
+    assert_eq!(
+        read(&["5", "2"]),
+        Announcement::Rate(Rate(2.0)),
+        "the least holds"
+    );
     for text in [
         "", "-1", "NaN", "inf", "1e309", "1 2", "a", "\u{661}", "1/s",
     ] {
-        assert_eq!(read(&[text]), Word::Unreadable, "{text:?}");
+        assert_eq!(read(&[text]), Announcement::Unreadable, "{text:?}");
     }
-    assert_eq!(Word::read([&[0xff, 0x31][..]]), Word::Unreadable);
+    assert_eq!(
+        Announcement::read([&[0xff, 0x31][..]]),
+        Announcement::Unreadable
+    );
 }
 
 #[test]
@@ -43,7 +50,7 @@
     bolero::check!()
         .with_type::<Vec<Vec<u8>>>()
         .for_each(|fields| {
-            let word = Word::read(fields.iter().map(Vec::as_slice));
+            let word = Announcement::read(fields.iter().map(Vec::as_slice));
             if let Some(rate) = word.rate() {
                 assert!(rate.0.is_finite() && rate.0 >= 0.0);
                 let parts = (0..9).map(|rank| share(rate, rank, 9).rate.0);
@@ -56,8 +63,8 @@
 #[test]
 fn nonsense_counts_as_nothing() {
     let mut limit = Limit::default();
-    assert!(limit.hear(Word::Unreadable, Time(10), Time(20)));
-    assert!(!limit.hear(Word::Unreadable, Time(30), Time(40)));
+    assert!(limit.apply_announcement(Announcement::Unreadable, Time(10), Time(20)));
+    assert!(!limit.apply_announcement(Announcement::Unreadable, Time(30), Time(40)));
     assert_eq!(limit.rate(), None);
     assert_eq!(limit.wait(0.0, Time(40)), Some(Millis(0)));
 }
@@ -66,20 +73,20 @@
 #[test]
 fn an_answer_from_before_ends_no_limit() {
     let mut limit = Limit::default();
-    assert!(limit.hear(Word::Most(Rate(1.0)), Time(100), Time(200)));
-    assert!(!limit.hear(Word::Silent, Time(150), Time(9000)));
-    assert!(!limit.hear(Word::Most(Rate(5.0)), Time(200), Time(9000)));
+    assert!(limit.apply_announcement(Announcement::Rate(Rate(1.0)), Time(100), Time(200)));
+    assert!(!limit.apply_announcement(Announcement::Absent, Time(150), Time(9000)));
+    assert!(!limit.apply_announcement(Announcement::Rate(Rate(5.0)), Time(200), Time(9000)));
     assert_eq!(limit.rate(), Some(Rate(1.0)));
-    assert!(limit.hear(Word::Most(Rate(5.0)), Time(201), Time(300)));
-    assert!(limit.hear(Word::Silent, Time(301), Time(400)));
+    assert!(limit.apply_announcement(Announcement::Rate(Rate(5.0)), Time(201), Time(300)));
+    assert!(limit.apply_announcement(Announcement::Absent, Time(301), Time(400)));
     assert_eq!(limit.rate(), None);
 }
 
 #[test]
 fn a_lower_limit_holds_from_its_reading() {
     let mut limit = Limit::default();
-    assert!(limit.hear(Word::Most(Rate(5.0)), Time(100), Time(200)));
-    assert!(limit.hear(Word::Most(Rate(1.0)), Time(100), Time(210)));
+    assert!(limit.apply_announcement(Announcement::Rate(Rate(5.0)), Time(100), Time(200)));
+    assert!(limit.apply_announcement(Announcement::Rate(Rate(1.0)), Time(100), Time(210)));
     assert_eq!(limit.rate(), Some(Rate(1.0)));
 }
 
@@ -88,23 +95,35 @@
     let mut limit = Limit::default();
     let rate = |rate| Some(Rate(rate));
     assert_eq!(
-        limit.learn(None, Time(5), &teller()),
-        Worth::Known,
+        limit.apply_report(None, Time(5), &teller()),
+        Freshness::Same,
         "the end of a limit that was never heard of"
     );
-    assert_eq!(limit.learn(rate(1.0), Time(10), &teller()), Worth::News);
-    assert_eq!(limit.learn(rate(2.0), Time(9), &teller()), Worth::Old);
     assert_eq!(
-        limit.learn(rate(2.0), Time(10), &teller()),
-        Worth::Old,
+        limit.apply_report(rate(1.0), Time(10), &teller()),
+        Freshness::Newer
+    );
+    assert_eq!(
+        limit.apply_report(rate(2.0), Time(9), &teller()),
+        Freshness::Older
+    );
+    assert_eq!(
+        limit.apply_report(rate(2.0), Time(10), &teller()),
+        Freshness::Older,
         "the lower of two of one moment holds"
     );
-    assert_eq!(limit.learn(None, Time(11), &teller()), Worth::News);
-    assert_eq!(limit.learn(rate(1.0), Time(10), &teller()), Worth::Old);
+    assert_eq!(
+        limit.apply_report(None, Time(11), &teller()),
+        Freshness::Newer
+    );
+    assert_eq!(
+        limit.apply_report(rate(1.0), Time(10), &teller()),
+        Freshness::Older
+    );
     assert_eq!(limit.rate(), None);
     for odd in [f64::NAN, f64::INFINITY, -1.0] {
-        let worth = limit.learn(Some(Rate(odd)), Time(99), &teller());
-        assert_eq!(worth, Worth::Known, "{odd}");
+        let worth = limit.apply_report(Some(Rate(odd)), Time(99), &teller());
+        assert_eq!(worth, Freshness::Same, "{odd}");
     }
 }
 
@@ -117,12 +136,12 @@
             let believe = |words: &mut dyn Iterator<Item = &(Option<u8>, u8)>| {
                 let mut limit = Limit::default();
                 // All know that it named a limit once.
-                limit.learn(Some(Rate(1.0)), Time(0), &teller());
+                limit.apply_report(Some(Rate(1.0)), Time(0), &teller());
                 for (rate, at) in words {
                     let rate = rate.map(|rate| Rate(f64::from(rate)));
-                    limit.learn(rate, Time(u64::from(*at)), &teller());
+                    limit.apply_report(rate, Time(u64::from(*at)), &teller());
                 }
-                (limit.rate(), limit.at())
+                (limit.rate(), limit.effective_at())
             };
             let there = believe(&mut words.iter());
             let back = believe(&mut words.iter().rev());
@@ -135,8 +154,8 @@
 #[test]
 fn a_lower_limit_lowers_the_share_at_once() {
     let mut limit = Limit::default();
-    limit.hear(Word::Most(Rate(20.0)), Time(0), Time(10));
-    limit.split(share(Rate(20.0), 0, 1), Time(10));
-    limit.hear(Word::Most(Rate(2.0)), Time(0), Time(20));
+    limit.apply_announcement(Announcement::Rate(Rate(20.0)), Time(0), Time(10));
+    limit.set_share(share(Rate(20.0), 0, 1), Time(10));
+    limit.apply_announcement(Announcement::Rate(Rate(2.0)), Time(0), Time(20));
     assert!(limit.share().0 <= 2.0, "{}", limit.share());
 }
--- a/tests/moved_fuzz.rs
+++ b/tests/moved_fuzz.rs
@@ -12,8 +12,8 @@
     fleet::Change,
     id::{Attempt, Request},
     memory::{
-        moved::{Handle, Moved},
         prompt::Part,
+        transfer::{Handle, Handover},
     },
     platform::record,
     reducer::{
@@ -41,7 +41,7 @@
         r#"{{"service":"s","address":"10.0.0.{index}:1","zone":"atl-a","slots":4,"born":{born},{state}}}"#
     );
     let name = ENGINES[index].parse().expect("a name");
-    Change::Put(record::server(&name, entry.as_bytes(), &places()).expect("it reads"))
+    Change::Put(record::parse_server(&name, entry.as_bytes(), &places()).expect("it reads"))
 }
 
 /// One request as it truly stands.
@@ -114,17 +114,17 @@
                 }
                 self.calls.push(call);
             }
-            Effect::Free(origin) => {
+            Effect::FreeCopy(origin) => {
                 if let Some(copy) = self.copies.get_mut(&origin.handle.0) {
                     copy.over = true;
                 }
             }
-            Effect::Abort { request, .. } | Effect::Leave { request, .. } => {
+            Effect::Abort { request, .. } | Effect::DetachStream { request, .. } => {
                 if let Some(run) = self.runs.get_mut(&request) {
                     (run.live, run.closed) = (false, true);
                 }
             }
-            Effect::Reply { request, .. } | Effect::Close { request, .. } => {
+            Effect::Reply { request, .. } | Effect::CompleteStream { request, .. } => {
                 self.runs.remove(&request);
             }
             _ => {}
@@ -198,7 +198,7 @@
             .filter(|run| run.attempt == call.attempt);
         let known = run.filter(|run| run.begun && (run.live || run.stopped.is_some()));
         let result = match (known, choice % 8) {
-            (_, 0) => Moved::Lost,
+            (_, 0) => Handover::Lost,
             // The copy was made before its caller left.
             (None, 4 | 5) if gone => {
                 self.handles += 1;
@@ -210,15 +210,15 @@
                 };
                 self.copies.insert(name.clone(), copy);
                 let handle = Handle(name);
-                Moved::Copied { handle, events: 1 }
+                Handover::Copied { handle, events: 1 }
             }
-            (None, _) => Moved::Absent,
+            (None, _) => Handover::Absent,
             (Some(run), kind) => {
                 let refused = kind == 1;
                 if !call.last && refused {
-                    Moved::Refused
+                    Handover::Refused
                 } else if kind == 2 && !run.live {
-                    Moved::Busy
+                    Handover::Busy
                 } else {
                     let name = || {
                         self.handles += 1;
@@ -243,12 +243,12 @@
                     let name = Handle(handle.clone());
                     // It stopped, and nobody is told.
                     if kind == 3 {
-                        Moved::Lost
+                        Handover::Lost
                     } else {
                         self.copies.insert(handle, copy);
                         match refused {
-                            true => Moved::Kept(name),
-                            false => Moved::Copied {
+                            true => Handover::Kept(name),
+                            false => Handover::Copied {
                                 handle: name,
                                 events: 1,
                             },
@@ -273,7 +273,7 @@
         let attempt = run.attempt;
         let timing = Default::default();
         if !whole && (self.resumable || run.asked) {
-            return self.step(Event::Broke { request, attempt });
+            return self.step(Event::StreamCut { request, attempt });
         }
         self.runs.remove(&request);
         self.step(Event::Ended {
@@ -367,7 +367,7 @@
             _ => {
                 if let Some(request) = self.pick(choice, streaming) {
                     self.runs.remove(&request);
-                    self.step(Event::Gone(request));
+                    self.step(Event::Disconnected(request));
                 }
             }
         }
@@ -378,7 +378,7 @@
         // Those that wait in line are sent, or their time is over.
         for _ in 0..90 {
             while let Some((request, _)) = self.runs.pop_first() {
-                self.step(Event::Gone(request));
+                self.step(Event::Disconnected(request));
             }
             while !self.calls.is_empty() {
                 self.answer(7);
--- a/tests/moved_runs.rs
+++ b/tests/moved_runs.rs
@@ -12,12 +12,12 @@
     fleet::Change,
     id,
     memory::{
-        moved::{Handle, Moved, Origin},
         prompt::Part,
+        transfer::{Handle, Handover, Origin},
     },
-    platform::{engine::moved, record},
+    platform::{engine::parse_move_answer, record},
     reducer::{
-        effect::{Effect, End, Move, Note, Send},
+        effect::{Effect, Move, MoveOutcome, Note, Send},
         event::{Cause, Event},
     },
     unit::Millis,
@@ -41,7 +41,7 @@
         r#"{{"service":"s","address":"10.0.0.1:{port}","zone":"atl-a","slots":64,"born":1{more}}}"#
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::parse_server(&name, entry.as_bytes(), &places()).expect("it reads")
 }
 
 fn ready(name: &str) -> Backend {
@@ -95,7 +95,7 @@
     }
 
     /// The engine answers the call.
-    fn answer(&mut self, call: &Move, result: Moved) -> Vec<Effect> {
+    fn answer(&mut self, call: &Move, result: Handover) -> Vec<Effect> {
         self.world.step(Event::Moved {
             request: call.request,
             attempt: call.attempt,
@@ -120,7 +120,7 @@
         let Send {
             request, attempt, ..
         } = self.streams[0];
-        self.world.step(Event::Broke { request, attempt })
+        self.world.step(Event::StreamCut { request, attempt })
     }
 
     fn failed(&mut self, send: &Send, verdict: Verdict, cause: Cause) -> Vec<Effect> {
@@ -133,9 +133,9 @@
     }
 }
 
-fn copied(handle: &str) -> Moved {
+fn copied(handle: &str) -> Handover {
     let handle = Handle(handle.to_owned());
-    Moved::Copied { handle, events: 7 }
+    Handover::Copied { handle, events: 7 }
 }
 
 fn calls(effects: &[Effect]) -> Vec<Move> {
@@ -147,17 +147,17 @@
 }
 
 fn freed(effects: &[Effect]) -> Vec<&str> {
-    let free = |e: &'_ Effect| matches!(e, Effect::Free(_));
+    let free = |e: &'_ Effect| matches!(e, Effect::FreeCopy(_));
     let handle = |e| match e {
-        &Effect::Free(Origin { ref handle, .. }) => handle.0.as_str(),
+        &Effect::FreeCopy(Origin { ref handle, .. }) => handle.0.as_str(),
         _ => unreachable!(),
     };
     effects.iter().filter(|e| free(e)).map(handle).collect()
 }
 
-fn ends(effects: &[Effect]) -> Vec<End> {
+fn ends(effects: &[Effect]) -> Vec<MoveOutcome> {
     let end = |e: &Effect| match e {
-        Effect::Carried(carried) => Some(carried.end),
+        Effect::MoveEnded(carried) => Some(carried.end),
         _ => None,
     };
     effects.iter().filter_map(end).collect()
@@ -191,7 +191,7 @@
     let effects = scene.world.step(Event::Begun { request, attempt });
     assert_eq!(
         (ends(&effects), freed(&effects).len()),
-        (vec![End::There], 0)
+        (vec![MoveOutcome::Moved], 0)
     );
     let whole = true;
     let timing = Default::default();
@@ -247,7 +247,7 @@
     assert_eq!(moved, [800, 7000, 8000, 9000]);
     let effects = scene.world.step(Event::Tick);
     assert!(calls(&effects).is_empty(), "four are under way");
-    let effects = scene.answer(&first[0], Moved::Absent);
+    let effects = scene.answer(&first[0], Handover::Absent);
     assert_eq!(
         calls(&effects).len(),
         1,
@@ -262,13 +262,13 @@
     let mut scene = Scene::new(&config(false, true), &[4000], &others);
     let mut call = calls(&scene.leave(3000)).remove(0);
     for _ in 0..2 {
-        let effects = scene.answer(&call, Moved::Refused);
-        assert_eq!(ends(&effects), [End::Refused]);
+        let effects = scene.answer(&call, Handover::Refused);
+        assert_eq!(ends(&effects), [MoveOutcome::Refused]);
         let next = calls(&effects).remove(0);
         assert!(!next.last && next.to != call.to && sends(&effects).is_empty());
         call = next;
     }
-    let effects = scene.answer(&call, Moved::Lost);
+    let effects = scene.answer(&call, Handover::Lost);
     assert!(calls(&effects).is_empty(), "it is not asked for ever");
     assert!(calls(&scene.world.step(Event::Tick)).is_empty());
     assert_eq!(scene.world.state.busy(), 1, "the run goes on");
@@ -279,7 +279,7 @@
 fn a_stopped_run_goes_back_to_its_memory() {
     let mut scene = Scene::one();
     let last = scene.stopping();
-    let back = scene.answer(&last, Moved::Kept(Handle("h3".to_owned())));
+    let back = scene.answer(&last, Handover::Kept(Handle("h3".to_owned())));
     let back = sends(&back).remove(0);
     let handle = back.continues.clone().expect("the same run").handle;
     assert_eq!((target(&back), handle.0.as_str()), ("a", "h3"));
@@ -287,7 +287,7 @@
         request, attempt, ..
     } = back;
     let effects = scene.world.step(Event::Begun { request, attempt });
-    assert_eq!(ends(&effects), [End::Back]);
+    assert_eq!(ends(&effects), [MoveOutcome::Returned]);
 }
 
 /// A leaving server takes no request later than a short while after it said so.
@@ -296,7 +296,7 @@
     let mut scene = Scene::one();
     let last = scene.stopping();
     scene.world.pass(2000);
-    let on = sends(&scene.answer(&last, Moved::Kept(Handle("h3".to_owned()))));
+    let on = sends(&scene.answer(&last, Handover::Kept(Handle("h3".to_owned()))));
     assert_eq!(target(&on[0]), "b", "the first copy is there");
 }
 
@@ -305,12 +305,12 @@
 fn a_lost_answer_sends_the_run_nowhere() {
     let mut scene = Scene::one();
     let last = scene.stopping();
-    let mut effects = scene.answer(&last, Moved::Lost);
+    let mut effects = scene.answer(&last, Handover::Lost);
     effects.extend(scene.broke());
     effects.extend(scene.world.step(Event::Tick));
     let again = calls(&effects).remove(0);
     assert!(again.last && sends(&effects).is_empty());
-    let mut effects = scene.answer(&again, Moved::Lost);
+    let mut effects = scene.answer(&again, Handover::Lost);
     effects.extend(scene.world.step(Event::Tick));
     assert!(sends(&effects).is_empty() && calls(&effects).is_empty());
     assert_eq!((freed(&effects), replies(&effects).len()), (vec!["h1"], 1));
@@ -321,7 +321,7 @@
 fn the_second_answer_is_as_good_as_the_first() {
     let mut scene = Scene::one();
     let last = scene.stopping();
-    scene.answer(&last, Moved::Lost);
+    scene.answer(&last, Handover::Lost);
     let again = calls(&scene.world.step(Event::Tick)).remove(0);
     assert!(
         scene.broke().is_empty(),
@@ -354,7 +354,7 @@
     assert!(sends(&effects).is_empty());
     assert_eq!(
         (ends(&effects), replies(&effects).len()),
-        (vec![End::Lost], 1)
+        (vec![MoveOutcome::Lost], 1)
     );
 }
 
@@ -365,7 +365,7 @@
     let effects = scene.broke();
     assert_eq!(
         (ends(&effects), replies(&effects).len()),
-        (vec![End::Refused], 1)
+        (vec![MoveOutcome::Refused], 1)
     );
     assert_eq!(
         freed(&scene.answer(&first, copied("h1"))),
@@ -378,7 +378,7 @@
 fn a_caller_that_leaves_frees_both_ends() {
     let gone = |scene: &mut Scene| {
         let request = scene.streams[0].request;
-        scene.world.step(Event::Gone(request))
+        scene.world.step(Event::Disconnected(request))
     };
     let mut scene = Scene::one();
     let first = calls(&scene.leave(3000)).remove(0);
@@ -413,18 +413,18 @@
     } = scene.streams[0];
     let closed = Event::Closed { request, attempt };
     assert!(scene.world.step(closed.clone()).is_empty());
-    let effects = scene.answer(&last, Moved::Absent);
-    assert!(effects.contains(&Effect::Close { request, attempt }));
-    assert_eq!(ends(&effects), [End::Ended]);
+    let effects = scene.answer(&last, Handover::Absent);
+    assert!(effects.contains(&Effect::CompleteStream { request, attempt }));
+    assert_eq!(ends(&effects), [MoveOutcome::Ended]);
 
     let mut scene = Scene::one();
     let last = scene.stopping();
     assert!(
-        scene.answer(&last, Moved::Absent).is_empty(),
+        scene.answer(&last, Handover::Absent).is_empty(),
         "its end is on the way"
     );
     let effects = scene.world.step(closed.clone());
-    assert!(effects.contains(&Effect::Close { request, attempt }));
+    assert!(effects.contains(&Effect::CompleteStream { request, attempt }));
 
     let mut scene = Scene::one();
     let last = scene.stopping();
@@ -474,7 +474,7 @@
         (
             200,
             r#"{"handle":"17","created":7}"#,
-            Moved::Copied {
+            Handover::Copied {
                 handle: handle(),
                 events: 7,
             },
@@ -482,23 +482,23 @@
         (
             200,
             r#"{"handle":17,"created":7}"#,
-            Moved::Copied {
+            Handover::Copied {
                 handle: handle(),
                 events: 7,
             },
         ),
-        (200, "{}", Moved::Lost),
-        (200, "<html>", Moved::Lost),
-        (503, r#"{"handle":"17"}"#, Moved::Kept(handle())),
-        (503, "", Moved::Refused),
-        (404, "", Moved::Absent),
-        (409, "{}", Moved::Busy),
-        (500, r#"{"handle":"17"}"#, Moved::Lost),
+        (200, "{}", Handover::Lost),
+        (200, "<html>", Handover::Lost),
+        (503, r#"{"handle":"17"}"#, Handover::Kept(handle())),
+        (503, "", Handover::Refused),
+        (404, "", Handover::Absent),
+        (409, "{}", Handover::Busy),
+        (500, r#"{"handle":"17"}"#, Handover::Lost),
     ];
     for (status, content, meant) in cases {
         let status = StatusCode::from_u16(status).expect("a status");
         assert_eq!(
-            moved(status, content.as_bytes()),
+            parse_move_answer(status, content.as_bytes()),
             meant,
             "{status} {content}"
         );
--- a/tests/peer_notes.rs
+++ b/tests/peer_notes.rs
@@ -18,10 +18,10 @@
     let mut solo = Solo::new(&(BASE.to_owned() + &caller("a", "") + "[selector all]\n"));
     let region = "bunbury".parse().expect("a name");
     solo.digest(4, 0);
-    assert_eq!(notes(&solo.pass(1000)), [Note::Reached(region)]);
+    assert_eq!(notes(&solo.pass(1000)), [Note::RegionReachable(region)]);
     let region = "bunbury".parse().expect("a name");
-    assert_eq!(notes(&solo.pass(10_000)), [Note::Unreached(region)]);
+    assert_eq!(notes(&solo.pass(10_000)), [Note::RegionSilent(region)]);
     let region = "bunbury".parse().expect("a name");
     solo.digest(4, 0);
-    assert_eq!(notes(&solo.pass(1000)), [Note::Reached(region)]);
+    assert_eq!(notes(&solo.pass(1000)), [Note::RegionReachable(region)]);
 }
--- a/tests/pinned_keys.rs
+++ b/tests/pinned_keys.rs
@@ -174,7 +174,7 @@
         ),
         (
             "too far ahead",
-            key(address(2), LIFE, NOW + pin::LIFE + Millis(1)),
+            key(address(2), LIFE, NOW + pin::PIN_LIFETIME + Millis(1)),
             Hop::Direct,
             Seen::Refused(428, may),
         ),
@@ -192,7 +192,7 @@
         ),
         (
             "another secret",
-            Key::Bad(pin::Error::Foreign),
+            Key::Bad(pin::Error::WrongSecret),
             Hop::Direct,
             Seen::Refused(409, may),
         ),
@@ -236,7 +236,7 @@
     };
     let prefix = pin.prefix(&ours);
     assert_eq!(Pin::read(&ours, &format!("{prefix}booking-1")), Ok(pin));
-    assert_eq!(Pin::read(&theirs, &prefix), Err(pin::Error::Foreign));
+    assert_eq!(Pin::read(&theirs, &prefix), Err(pin::Error::WrongSecret));
     bolero::check!()
         .with_type::<(u8, u8)>()
         .for_each(|(at, with)| {
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -245,9 +245,9 @@
     solo.digest(50, 0);
     let status = solo.state.explain(
         solo.now,
-        petreldrum::config::Ask {
+        petreldrum::config::Query {
             host: None,
-            draw: 0,
+            random: 0,
             customer: "a".parse().expect("a name"),
             path: "/read/x".to_owned(),
             model: None,
--- a/tests/platform_heads.rs
+++ b/tests/platform_heads.rs
@@ -19,7 +19,7 @@
 fn judge(status: u16, answer: &[(&str, &str)]) -> Outcome {
     let sent = headers(&[("request-id", "one")]);
     let status = StatusCode::from_u16(status).expect("a status");
-    head::judge(&sent, status, &headers(answer))
+    head::classify_answer(&sent, status, &headers(answer))
 }
 
 const ECHO: (&str, &str) = ("request-id", "one");
@@ -36,7 +36,7 @@
     assert_eq!((prompt.tokens, prompt.output), (1460, 80));
     assert_eq!(prompt.shared_parts().len(), 2);
     assert_eq!(prompt.longest().map(|p| p.id), Some(0x5c1e_07a2));
-    assert_eq!(head::left(&head), Some(Millis(900)));
+    assert_eq!(head::time_left(&head), Some(Millis(900)));
     assert_eq!(head::prompt(&headers(&[("token-usage", "x")])), None);
 }
 
@@ -52,7 +52,7 @@
     let pairs: Vec<(&str, &str)> = names.iter().map(|name| (*name, "x")).collect();
     let mut head = headers(&pairs);
     head.append("model", "m".parse().expect("a value"));
-    head::strip(&mut head);
+    head::remove_system_headers(&mut head);
     assert_eq!(head.len(), 1);
 }
 
--- a/tests/platform_records.rs
+++ b/tests/platform_records.rs
@@ -8,7 +8,7 @@
     config::Config,
     fleet::Revision,
     platform::{
-        record::{self, Name},
+        record::{self, Key},
         rollout,
     },
     rollout::Standing,
@@ -31,7 +31,7 @@
 
 fn config() -> Config {
     let envelope = record::envelope(CONFIG.into()).expect("it reads");
-    record::config(&envelope, &places()).expect("it reads")
+    record::parse_config(&envelope, &places()).expect("it reads")
 }
 
 fn route(config: &Config, host: &str, path: &str) -> Option<String> {
@@ -41,20 +41,20 @@
 
 #[test]
 fn keys_are_told_apart() {
-    assert_eq!(Name::parse("op/config"), Some(Name::Config));
+    assert_eq!(Key::parse("op/config"), Some(Key::Config));
     let domain = "atl-a".parse().expect("a name");
-    let evacuation = Some(Name::Evacuation(domain));
-    assert_eq!(Name::parse("op/evacuate/atl-a"), evacuation);
+    let evacuation = Some(Key::Evacuation(domain));
+    assert_eq!(Key::parse("op/evacuate/atl-a"), evacuation);
     let server = "i-1".parse().expect("a name");
-    assert_eq!(Name::parse("servers/i-1"), Some(Name::Server(server)));
+    assert_eq!(Key::parse("servers/i-1"), Some(Key::Server(server)));
     let service = |name: &str| name.parse().expect("a name");
-    let order = Name::parse("op/rollout/app");
-    assert_eq!(order, Some(Name::Rollout(service("app"))));
-    let status = Name::parse("status/rollout/app");
-    assert_eq!(status, Some(Name::RolloutStatus(service("app"))));
-    assert_eq!(Name::parse("op/rollout/"), None);
-    assert_eq!(Name::parse("op/other"), None);
-    assert_eq!(Name::parse("servers/"), None);
+    let order = Key::parse("op/rollout/app");
+    assert_eq!(order, Some(Key::Rollout(service("app"))));
+    let status = Key::parse("status/rollout/app");
+    assert_eq!(status, Some(Key::RolloutStatus(service("app"))));
+    assert_eq!(Key::parse("op/rollout/"), None);
+    assert_eq!(Key::parse("op/other"), None);
+    assert_eq!(Key::parse("servers/"), None);
 }
 
 #[test]
@@ -87,12 +87,12 @@
     let config = config();
     let caller = config.anonymous.clone().expect("there is one");
     let service = |draw| {
-        let ask = petreldrum::config::Ask {
+        let ask = petreldrum::config::Query {
             customer: caller.clone(),
             path: "/crew/long/x".to_owned(),
             model: None,
             host: Some("a.example".to_owned()),
-            draw,
+            random: draw,
         };
         config.plan(&ask).expect("a place").service.to_string()
     };
@@ -105,23 +105,26 @@
     let entry = br#"{"service":"model","address":"10.128.0.9:8080","zone":"atl-a","version":"v1",
         "slots":64,"state":"draining","coldRemainingMs":2500,"sequence":4,"timeLeftMs":2000}"#;
     let name = "i-1".parse().expect("a name");
-    let server = record::server(&name, entry, &places()).expect("it reads");
+    let server = record::parse_server(&name, entry, &places()).expect("it reads");
     assert!(server.leaving);
     assert_eq!(server.region.as_str(), "atl");
     assert_eq!(server.cold, Millis(2500));
     let odd = br#"{"service":"model","address":"10.128.0.9:8080","zone":"x","slots":1,
         "state":"ready"}"#;
-    assert!(record::server(&name, odd, &places()).is_err(), "nowhere");
-    assert!(record::server(&name, b"{", &places()).is_err());
+    assert!(
+        record::parse_server(&name, odd, &places()).is_err(),
+        "nowhere"
+    );
+    assert!(record::parse_server(&name, b"{", &places()).is_err());
 }
 
 #[test]
 fn any_bytes_are_refused_whole() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let name = "i-1".parse().expect("a name");
-        let _ = record::server(&name, bytes, &places());
+        let _ = record::parse_server(&name, bytes, &places());
         if let Ok(envelope) = record::envelope(bytes.clone()) {
-            let _ = record::config(&envelope, &places());
+            let _ = record::parse_config(&envelope, &places());
         }
     });
 }
@@ -129,7 +132,7 @@
 #[test]
 fn orders_and_what_is_written_of_them() {
     let entry = br#"{"service":"app","targetVersion":"v2","durationS":12.5}"#;
-    let order = rollout::order(entry, Revision::first(7)).expect("it reads");
+    let order = rollout::parse_order(entry, Revision::first(7)).expect("it reads");
     assert_eq!(order.release.as_str(), "v2");
     assert_eq!(
         (order.within, order.revision),
@@ -140,13 +143,13 @@
         (Standing::Completed, "completed"),
         (Standing::RolledBack, "rolled_back"),
     ] {
-        let bytes = rollout::status(&order, standing);
+        let bytes = rollout::serialize_status(&order, standing);
         let text = String::from_utf8(bytes.clone()).expect("text");
         assert_eq!(
             text,
             format!(r#"{{"state":"{word}","targetVersion":"v2"}}"#)
         );
-        let written = rollout::written(&bytes, Revision::first(8)).expect("it reads");
+        let written = rollout::parse_status(&bytes, Revision::first(8)).expect("it reads");
         assert_eq!(
             (written.standing, &written.release),
             (standing, &order.release)
@@ -158,7 +161,7 @@
 fn orders_of_odd_durations_leave_no_time_or_much() {
     let order = |duration: &str| {
         let entry = format!(r#"{{"targetVersion":"v2","durationS":{duration}}}"#);
-        rollout::order(entry.as_bytes(), Revision::first(1)).map(|order| order.within)
+        rollout::parse_order(entry.as_bytes(), Revision::first(1)).map(|order| order.within)
     };
     assert_eq!(order("-3").expect("it reads"), Millis(0));
     assert_eq!(order("0").expect("it reads"), Millis(0));
@@ -170,10 +173,10 @@
 #[test]
 fn rollout_entries_of_any_bytes_read_or_do_not() {
     check!().with_type::<Vec<u8>>().for_each(|bytes| {
-        if let Ok(order) = rollout::order(bytes, Revision::first(1)) {
-            let bytes = rollout::status(&order, Standing::Active);
-            assert!(rollout::written(&bytes, Revision::first(2)).is_ok());
+        if let Ok(order) = rollout::parse_order(bytes, Revision::first(1)) {
+            let bytes = rollout::serialize_status(&order, Standing::Active);
+            assert!(rollout::parse_status(&bytes, Revision::first(2)).is_ok());
         }
-        let _ = rollout::written(bytes, Revision::first(1));
+        let _ = rollout::parse_status(bytes, Revision::first(1));
     });
 }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -55,7 +55,7 @@
     cloud.registry.forget();
     cloud.registry.set_fault(Fault::None);
     eventually("the change is found", || served(&cloud, "/v2/x", "a")).await;
-    sleep(petreldrum::fleet::DOUBT.duration()).await;
+    sleep(petreldrum::fleet::OUTAGE_GRACE.duration()).await;
     for number in 0..10 {
         let answer = cloud.boxes[0]
             .send("/safe/x", &format!("n{number}"), "")
@@ -78,7 +78,7 @@
         assert!(served(&cloud, "/safe/x", "after").await, "{fault:?}");
         let address = cloud.workers["i-1"].address;
         cloud.register("i-1", address, "atl", "ready");
-        sleep(petreldrum::fleet::DOUBT.duration()).await;
+        sleep(petreldrum::fleet::OUTAGE_GRACE.duration()).await;
         assert!(served(&cloud, "/safe/x", "later").await, "{fault:?}");
     }
 }
@@ -201,7 +201,7 @@
 
 #[test]
 fn larger_fleets_gather_for_longer() {
-    let gathering = |boxes| petreldrum::fleet::gathering(boxes).duration();
+    let gathering = |boxes| petreldrum::fleet::batch_delay(boxes).duration();
     assert!(gathering(9).is_zero(), "a few boxes hear at once");
     for boxes in [30, 79, 92, 360, 3000] {
         let pause = gathering(boxes).as_secs_f64();
--- a/tests/prompt_cache.rs
+++ b/tests/prompt_cache.rs
@@ -4,7 +4,7 @@
     memory::cache::{Cache, LONG},
     memory::prompt::{Part, Prompt},
     unit::Time,
-    wire::Short,
+    wire::NameHash,
 };
 
 const SHARED: Part = Part {
@@ -25,7 +25,7 @@
 
 #[test]
 fn held_parts_are_not_read() {
-    let (here, there) = (Short(1), Short(2));
+    let (here, there) = (NameHash(1), NameHash(2));
     let mut cache = Cache::default();
     let unread = |cache: &Cache, at| cache.unread(&prompt(), at, Some(MEMORY), Time(0));
     assert_eq!(unread(&cache, here), 13_700, "a short part is not followed");
@@ -36,7 +36,7 @@
 
 #[test]
 fn unused_parts_give_way() {
-    let here = Short(1);
+    let here = NameHash(1);
     let mut cache = Cache::default();
     cache.note(here, Some(SHARED), 13_750, Time(0));
     cache.note(here, None, 200_000, Time(10));
@@ -47,7 +47,7 @@
 
 #[test]
 fn engines_that_left_are_forgotten() {
-    let here = Short(1);
+    let here = NameHash(1);
     let mut cache = Cache::default();
     cache.note(here, Some(SHARED), LONG, Time(0));
     cache.retain(|short| short != here);
@@ -59,8 +59,8 @@
     let mut cache = Cache::default();
     for id in 0..20_000 {
         let part = Part { id, tokens: LONG };
-        cache.note(Short(1), Some(part), 1, Time(id));
+        cache.note(NameHash(1), Some(part), 1, Time(id));
     }
-    let held = (0..20_000).filter(|id| cache.holds(Short(1), *id, None, Time(20_000)));
+    let held = (0..20_000).filter(|id| cache.holds(NameHash(1), *id, None, Time(20_000)));
     assert!(held.count() <= 8192);
 }
--- a/tests/quarantine_table.rs
+++ b/tests/quarantine_table.rs
@@ -7,14 +7,14 @@
     content::{Content, Fingerprint},
     quarantine::{HOLD, Held, MAX_EACH, MAX_MARKS, MAX_TOLD, Quarantine, Step, Strike, weight},
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 const NOW: Time = Time(10_000);
 
 fn content(customer: u32, number: u64) -> Fingerprint {
     Fingerprint {
-        customer: Short(customer),
+        customer: NameHash(customer),
         content: Content(number),
     }
 }
@@ -22,7 +22,7 @@
 fn strike(content: Fingerprint, life: u32) -> Strike {
     Strike {
         content,
-        life: Short(life),
+        life: NameHash(life),
         weight: weight(None),
     }
 }
@@ -32,10 +32,10 @@
     let mut table = Quarantine::default();
     let deadly = content(1, 1);
     for life in 1..=2 {
-        table.strike(strike(deadly, life), NOW);
+        table.record_crash(strike(deadly, life), NOW);
         assert_eq!(table.held(&deadly, NOW), None);
     }
-    let step = table.strike(strike(deadly, 3), NOW);
+    let step = table.record_crash(strike(deadly, 3), NOW);
     assert!(matches!(step, Some(Step::Held { ends: 3, .. })));
     assert_eq!(table.held(&deadly, NOW), Some(HOLD));
     assert_eq!(table.held(&content(1, 2), NOW), None, "another content");
@@ -46,14 +46,14 @@
 fn one_end_that_two_boxes_tell_counts_once() {
     let mut table = Quarantine::default();
     let deadly = content(1, 1);
-    table.strike(strike(deadly, 1), NOW);
-    table.strike(strike(deadly, 2), NOW);
+    table.record_crash(strike(deadly, 1), NOW);
+    table.record_crash(strike(deadly, 2), NOW);
     let late = NOW + Millis(4000);
-    assert_eq!(table.strike(strike(deadly, 2), late), None);
+    assert_eq!(table.record_crash(strike(deadly, 2), late), None);
     assert_eq!(table.held(&deadly, late), None);
     // A server that tells no life of its own may end again.
     let again = NOW + Millis(6000);
-    assert!(table.strike(strike(deadly, 2), again).is_some());
+    assert!(table.record_crash(strike(deadly, 2), again).is_some());
     assert!(table.held(&deadly, again).is_some());
 }
 
@@ -61,20 +61,24 @@
 fn a_whole_answer_speaks_for_its_content() {
     let mut table = Quarantine::default();
     let popular = content(1, 1);
-    table.strike(strike(popular, 1), NOW);
-    table.strike(strike(popular, 2), NOW);
+    table.record_crash(strike(popular, 1), NOW);
+    table.record_crash(strike(popular, 2), NOW);
     assert!(table.clear(popular, NOW).is_some());
     // All servers end at once while many callers ask for it.
     for life in 3..20 {
-        assert_eq!(table.strike(strike(popular, life), NOW), None);
+        assert_eq!(table.record_crash(strike(popular, life), NOW), None);
     }
     let held = Held {
         content: popular,
         left: HOLD,
     };
-    assert_eq!(table.hold(held, NOW), None, "nor on another box's word");
+    assert_eq!(
+        table.apply_report(held, NOW),
+        None,
+        "nor on another box's word"
+    );
     let later = NOW + Millis(31_000);
-    assert!(table.strike(strike(popular, 20), later).is_some());
+    assert!(table.record_crash(strike(popular, 20), later).is_some());
 }
 
 #[test]
@@ -87,7 +91,7 @@
             weight: weight(Some(Millis(900))),
             ..strike(long, life)
         };
-        table.strike(old, NOW);
+        table.record_crash(old, NOW);
     }
     assert!(
         table.held(&long, NOW).is_some(),
@@ -100,17 +104,17 @@
     let mut table = Quarantine::default();
     let deadly = content(1, 1);
     for life in 1..=3 {
-        table.strike(strike(deadly, life), NOW);
+        table.record_crash(strike(deadly, life), NOW);
     }
     let over = NOW + HOLD;
     table.sweep(over);
     assert_eq!(table.held(&deadly, over), None, "it gets another chance");
-    table.strike(strike(deadly, 4), over);
+    table.record_crash(strike(deadly, 4), over);
     assert_eq!(table.held(&deadly, over), Some(HOLD));
     // Nothing is remembered for ever.
     table.sweep(over + HOLD);
     table.sweep(over + HOLD + HOLD);
-    table.strike(strike(deadly, 5), over + HOLD + HOLD);
+    table.record_crash(strike(deadly, 5), over + HOLD + HOLD);
     assert_eq!(table.held(&deadly, over + HOLD + HOLD), None);
 }
 
@@ -119,24 +123,24 @@
     let mut table = Quarantine::default();
     let deadly = content(1, 1);
     for life in 1..=3 {
-        table.strike(strike(deadly, life), NOW);
+        table.record_crash(strike(deadly, life), NOW);
     }
     for number in 0..3000 {
         for life in 1..=3 {
-            table.strike(strike(content(2, number), life), NOW + Millis(number));
+            table.record_crash(strike(content(2, number), life), NOW + Millis(number));
         }
     }
     let later = NOW + Millis(3000);
     assert!(table.held(&deadly, later).is_some());
     assert_eq!(table.all_held(later).len(), MAX_EACH + 1);
-    let told = table.told(later);
+    let told = table.to_report(later);
     assert_eq!(told.len(), MAX_TOLD, "messages stay small");
     assert!(told.iter().any(|held| held.content == deadly));
     // Nor do many customers together fill it without bound.
     for customer in 10..3000 {
-        table.strike(strike(content(customer, 1), 1), later);
+        table.record_crash(strike(content(customer, 1), 1), later);
         for life in 1..=3 {
-            table.strike(strike(content(customer, 2), life), later);
+            table.record_crash(strike(content(customer, 2), life), later);
         }
     }
     assert!(table.all_held(later).len() <= MAX_MARKS);
@@ -149,10 +153,10 @@
     let mut now = NOW;
     for life in 1..=3 {
         // Whoever ran beside it differs each time, and there are more of them than the table holds.
-        table.strike(strike(deadly, life), now);
+        table.record_crash(strike(deadly, life), now);
         for number in 1..=400 {
             let beside = content(1, u64::from(life) * 1000 + number);
-            table.strike(strike(beside, life), now + Millis(1));
+            table.record_crash(strike(beside, life), now + Millis(1));
         }
         now = now + Millis(1000);
     }
@@ -178,10 +182,10 @@
             mixed.extend(all.iter().rev());
             let [mut one, mut other] = [Quarantine::default(), Quarantine::default()];
             for strike in all {
-                one.strike(strike, NOW);
+                one.record_crash(strike, NOW);
             }
             for strike in mixed {
-                other.strike(strike, NOW);
+                other.record_crash(strike, NOW);
             }
             let sorted = |table: &Quarantine| {
                 let mut held = table.all_held(NOW);
--- a/tests/region_load.rs
+++ b/tests/region_load.rs
@@ -96,7 +96,7 @@
         for number in 0..boxes {
             let change = petreldrum::fleet::Change::List {
                 backends: vec![],
-                doubt: Millis(0),
+                grace: Millis(0),
             };
             crowd.step(number, harness::solo::news(change));
         }
--- a/tests/registry_fuzz.rs
+++ b/tests/registry_fuzz.rs
@@ -13,17 +13,17 @@
     config::Backend,
     fleet::Change,
     id::{self, Domain, Incarnation},
-    limit::{PROBE, Word},
+    limit::{Announcement, PROBE_RATE},
     platform::record,
     policy::Balanced,
     reducer::{
         Identity, State,
         effect::{Effect, Send, Target},
-        event::{Arrival, Cause, Credential, Event, Hop, Key, Sign, Source},
+        event::{Activity, Arrival, Cause, Credential, Event, Hop, Key, Source},
     },
     unit::{Millis, Rate, Time},
     verdict::Verdict,
-    wire::Short,
+    wire::NameHash,
 };
 
 const CONFIG: &str = r#"{"version":1,"routes":[
@@ -44,13 +44,13 @@
 const COLD_MOST: usize = 15;
 
 /// What backend servers say of their limits.
-const WORDS: [Word; 6] = [
-    Word::Silent,
-    Word::Unreadable,
-    Word::Most(Rate(0.0)),
-    Word::Most(Rate(0.5)),
-    Word::Most(Rate(2.0)),
-    Word::Most(Rate(20.0)),
+const WORDS: [Announcement; 6] = [
+    Announcement::Absent,
+    Announcement::Unreadable,
+    Announcement::Rate(Rate(0.0)),
+    Announcement::Rate(Rate(0.5)),
+    Announcement::Rate(Rate(2.0)),
+    Announcement::Rate(Rate(20.0)),
 ];
 
 /// A limit that a backend server named, and what it got since it named this one.
@@ -64,7 +64,7 @@
 impl Limited {
     /// What one box may have sent since then: the rate, and a second of it or one request saved up.
     fn most(&self, now: Time) -> usize {
-        let rate = self.rate.0.max(PROBE.0);
+        let rate = self.rate.0.max(PROBE_RATE.0);
         let seconds = now.since(self.since).0 as f64 / 1000.0;
         (rate * (seconds + 1.0)) as usize + 1
     }
@@ -102,7 +102,7 @@
         if leaving { "draining" } else { "ready" }
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("it reads")
+    record::parse_server(&name, entry.as_bytes(), &places()).expect("it reads")
 }
 
 impl World {
@@ -133,13 +133,13 @@
             limited: HashMap::new(),
         };
         let envelope = record::envelope(CONFIG.into()).expect("it reads");
-        let config = Arc::new(record::config(&envelope, &places()).expect("it reads"));
+        let config = Arc::new(record::parse_config(&envelope, &places()).expect("it reads"));
         let source = Source::Store;
         world.step(Event::Offered { config, source });
         let all = (0..SERVERS).map(|index| backend(&world.name(index), false, 0, 1));
         let list = Change::List {
             backends: all.collect(),
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         world.step(news(list));
         world
@@ -165,7 +165,7 @@
                 seen.may_have_run = true;
                 seen.runs += 1;
             }
-            Effect::Leave { request, attempt } => {
+            Effect::DetachStream { request, attempt } => {
                 let seen = self.requests.get_mut(&request).expect("it is known");
                 assert_eq!(seen.open.as_ref().map(|s| s.attempt), Some(attempt));
                 assert!(
@@ -287,7 +287,7 @@
                 self.step(Event::Begun { request, attempt });
                 return;
             }
-            (true, 0) if PATHS[seen.path] == "/stream/x" => Event::Broke { request, attempt },
+            (true, 0) if PATHS[seen.path] == "/stream/x" => Event::StreamCut { request, attempt },
             (true, kind) => {
                 seen.over = true;
                 let whole = kind % 2 == 0;
@@ -327,7 +327,7 @@
                 self.leaving.insert(name.clone());
                 let name = name.parse().expect("a name");
                 let doubt = Millis(0);
-                self.step(news(Change::Gone { name, doubt }));
+                self.step(news(Change::Removed { name, grace: doubt }));
             }
             2 => {
                 // The box cannot know of the old life's end before it is told.
@@ -343,7 +343,7 @@
                     self.leaving.insert(name.clone());
                     let name = name.parse().expect("a name");
                     let doubt = Millis(0);
-                    self.step(news(Change::Gone { name, doubt }));
+                    self.step(news(Change::Removed { name, grace: doubt }));
                 }
             }
             5 => {
@@ -405,12 +405,12 @@
     /// The streams of some servers bring something.
     fn heard(&mut self, which: u8, pause: u8) {
         let alive = (0..SERVERS).filter(|index| which & (1 << index) != 0);
-        let sign = |index| Sign {
-            backend: Short::of(&self.name(index)),
+        let sign = |index| Activity {
+            backend: NameHash::of(&self.name(index)),
             pause: Millis(u64::from(pause)),
         };
         let signs = alive.map(sign).collect();
-        self.step(Event::Alive(signs));
+        self.step(Event::StreamsActive(signs));
     }
 
     fn pass(&mut self, ticks: u8) {
@@ -431,7 +431,7 @@
                 if let Some((request, ..)) = self.pick(one) {
                     let seen = self.requests.get_mut(&request).expect("it is known");
                     seen.over = true;
-                    self.step(Event::Gone(request));
+                    self.step(Event::Disconnected(request));
                 }
             }
         }
--- a/tests/resumed_streams.rs
+++ b/tests/resumed_streams.rs
@@ -55,9 +55,9 @@
     events.push(Bytes::from("id: 1\ndata: a\n\n"));
     let part = events.push(Bytes::from(format!("id: 2\ndata: {}", "x".repeat(300_000))));
     assert!(part.len() > 300_000, "it is not gathered");
-    assert_eq!((events.last(), events.is_split()), (Some("1"), true));
+    assert_eq!((events.last_id(), events.is_split()), (Some("1"), true));
     events.push(Bytes::from("x\n\nid: 3\n"));
-    assert_eq!((events.last(), events.is_split()), (Some("2"), false));
+    assert_eq!((events.last_id(), events.is_split()), (Some("2"), false));
 }
 
 #[test]
@@ -79,7 +79,9 @@
                 rest = later;
                 assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
                 let whole = passed.windows(2).filter(|w| w == b"\n\n").count();
-                let last = events.last().map_or(0, |id| id.parse().expect("a number"));
+                let last = events
+                    .last_id()
+                    .map_or(0, |id| id.parse().expect("a number"));
                 assert_eq!(whole, last, "the last whole event is known");
             }
             passed.extend(events.push(Bytes::copy_from_slice(rest)));
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -25,10 +25,10 @@
     let service = "app".parse().expect("a name");
     let spend = |_| {
         let mut budgets = Budgets::new(LIMITS, false);
-        budgets.share(Some(boxes));
+        budgets.set_boxes(Some(boxes));
         let mut spent = 0;
         for _ in 0..requests {
-            budgets.earn(&service, NOW);
+            budgets.record_request(&service, NOW);
             while budgets.spend(&service, NOW) {
                 spent += 1;
             }
@@ -59,7 +59,7 @@
     let mut budgets = Budgets::new(LIMITS, false);
     assert!(budgets.spend(&service, NOW));
     assert!(!budgets.spend(&service, NOW), "it may not be alone");
-    budgets.share(None);
+    budgets.set_boxes(None);
     let later = NOW + Millis(60_000);
     assert!(budgets.spend(&service, later));
     assert!(!budgets.spend(&service, later), "it may not be alone");
@@ -70,7 +70,7 @@
 fn a_young_life_is_careful() {
     let service = "app".parse().expect("a name");
     let mut budgets = Budgets::new(LIMITS, false);
-    budgets.share(Some(9));
+    budgets.set_boxes(Some(9));
     assert!(!budgets.spend(&service, Time(9_900)));
     assert!(budgets.spend(&service, Time(10_000)));
 }
@@ -80,7 +80,7 @@
 fn a_first_life_has_its_share_at_once() {
     let service = "app".parse().expect("a name");
     let mut budgets = Budgets::new(LIMITS, true);
-    budgets.share(Some(9));
+    budgets.set_boxes(Some(9));
     let granted = (0..10).filter(|_| budgets.spend(&service, Time(0))).count();
     assert_eq!(granted, 4, "of 58 over 9 boxes");
 }
@@ -102,9 +102,9 @@
 fn a_burst_uses_what_was_earned() {
     let service = "app".parse().expect("a name");
     let mut budgets = Budgets::new(LIMITS, false);
-    budgets.share(Some(9));
+    budgets.set_boxes(Some(9));
     for number in 0..200 {
-        budgets.earn(&service, Time(number * 100));
+        budgets.record_request(&service, Time(number * 100));
     }
     let now = Time(20_000);
     let spent = std::iter::repeat_with(|| budgets.spend(&service, now))
@@ -121,9 +121,9 @@
 fn load_that_begins_is_paid_in_part() {
     let service = "app".parse().expect("a name");
     let mut budgets = Budgets::new(LIMITS, false);
-    budgets.share(Some(9));
+    budgets.set_boxes(Some(9));
     for at in (10_000..20_000).step_by(10) {
-        budgets.earn(&service, Time(at));
+        budgets.record_request(&service, Time(at));
     }
     let spent = std::iter::repeat_with(|| budgets.spend(&service, Time(20_000)))
         .take_while(|granted| *granted)
@@ -145,14 +145,14 @@
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let service = "app".parse().expect("a name");
         let mut budgets = Budgets::new(LIMITS, false);
-        budgets.share(Some(9));
+        budgets.set_boxes(Some(9));
         let (mut now, mut fresh, mut spent) = (Time(0), Vec::new(), Vec::new());
         for step in steps {
             match step {
                 Step::Pass(millis) => now = now + Millis(u64::from(millis % 4000)),
                 Step::Fresh(count) => {
                     for _ in 0..*count {
-                        budgets.earn(&service, now);
+                        budgets.record_request(&service, now);
                         fresh.push(now);
                     }
                 }
@@ -202,7 +202,7 @@
         let mut boxes = vec![Budgets::new(LIMITS, false); size];
         boxes
             .iter_mut()
-            .for_each(|budgets| budgets.share(Some(size)));
+            .for_each(|budgets| budgets.set_boxes(Some(size)));
         Self {
             boxes,
             fresh: vec![0],
@@ -222,7 +222,7 @@
                 owed[number] += rate * STEP.0 as f64 / 1000.0;
                 while owed[number] >= 1.0 {
                     owed[number] -= 1.0;
-                    budgets.earn(&service, now);
+                    budgets.record_request(&service, now);
                     fresh += 1;
                 }
                 while eager && budgets.spend(&service, now) {
--- a/tests/rollout_verdicts.rs
+++ b/tests/rollout_verdicts.rs
@@ -2,9 +2,9 @@
 
 use petreldrum::{
     fleet::Revision,
-    rollout::{Count, Exposure, Judge, Permits, Pool, Typical, Verdict, evidence},
+    rollout::{Baseline, Count, Evaluator, Exposure, Permits, Pool, Verdict, evidence},
     unit::{Millis, Time},
-    wire::{Short, Trial},
+    wire::{NameHash, Trial},
 };
 use rand::{Rng as _, SeedableRng as _, rngs::StdRng};
 
@@ -14,9 +14,9 @@
 
 fn trial(route: u32, old: Count, new: Count, seen: u64, failing: u64) -> Trial {
     Trial {
-        service: Short(1),
+        service: NameHash(1),
         order: Revision::first(5),
-        route: Short(route),
+        route: NameHash(route),
         age: Millis(1000),
         old,
         new,
@@ -28,7 +28,7 @@
 /// A roll-out in which every 200 ms so many answers come, a part of them bad.
 fn play(seed: u64, old: (u32, f64), new: (u32, f64)) -> (Verdict, u32) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut judge = Judge::default();
+    let mut judge = Evaluator::default();
     let mut row = trial(1, count(0, 0), count(0, 0), 0b1111, 0);
     let mut verdict = Verdict::Open;
     for look in 1..=60 {
@@ -42,7 +42,7 @@
         } else {
             u64::from(row.new.bad)
         };
-        verdict = judge.look(Pool::gather([&row]), Time(look * 200));
+        verdict = judge.evaluate(Pool::gather([&row]), Time(look * 200));
         if matches!(verdict, Verdict::Bad(_)) {
             break;
         }
@@ -77,12 +77,12 @@
 
 #[test]
 fn one_server_that_fails_convicts_no_release() {
-    let mut judge = Judge::default();
+    let mut judge = Evaluator::default();
     let row = trial(1, count(2, 500), count(20, 60), 0b1111_1111, 0b1);
-    let verdict = judge.look(Pool::gather([&row]), Time(200));
+    let verdict = judge.evaluate(Pool::gather([&row]), Time(200));
     assert!(!matches!(verdict, Verdict::Bad(_)), "{verdict:?}");
     let row = trial(1, count(2, 500), count(20, 60), 0b1111_1111, 0b111);
-    let verdict = judge.look(Pool::gather([&row]), Time(400));
+    let verdict = judge.evaluate(Pool::gather([&row]), Time(400));
     assert!(matches!(verdict, Verdict::Bad(_)), "{verdict:?}");
 }
 
@@ -91,24 +91,24 @@
     let mut rows: Vec<Trial> = (0..20)
         .map(|route| trial(route, count(20, 1000), count(2, 100), 0b11, 0b11))
         .collect();
-    let good = Judge::default().look(Pool::gather(&rows), Time(200));
+    let good = Evaluator::default().evaluate(Pool::gather(&rows), Time(200));
     assert!(matches!(good, Verdict::Good(_)), "{good:?}");
     rows.push(trial(99, count(0, 50), count(8, 10), 0b11, 0b11));
-    let bad = Judge::default().look(Pool::gather(&rows), Time(200));
+    let bad = Evaluator::default().evaluate(Pool::gather(&rows), Time(200));
     assert!(matches!(bad, Verdict::Bad(_)), "{bad:?}");
 }
 
 #[test]
 fn what_turns_bad_late_is_seen_by_what_came_lately() {
-    let mut judge = Judge::default();
+    let mut judge = Evaluator::default();
     let mut row = trial(1, count(5, 2000), count(1, 2000), 0b11, 0b11);
     for look in 1..=30 {
-        judge.look(Pool::gather([&row]), Time(look * 200));
+        judge.evaluate(Pool::gather([&row]), Time(look * 200));
     }
     row.old = count(5, 2300);
     row.new = count(16, 2030);
     assert!(evidence(row.old, row.new) < 6.0, "the whole says little");
-    let verdict = judge.look(Pool::gather([&row]), Time(6200));
+    let verdict = judge.evaluate(Pool::gather([&row]), Time(6200));
     assert!(matches!(verdict, Verdict::Bad(_)), "{verdict:?}");
 }
 
@@ -117,18 +117,18 @@
     assert_eq!(evidence(count(0, 5), count(10, 10)), 0.0);
     assert_eq!(evidence(count(0, 500), count(0, 0)), 0.0);
     let row = trial(1, count(0, 500), count(0, 10), 0b11, 0);
-    let verdict = Judge::default().look(Pool::gather([&row]), Time(200));
+    let verdict = Evaluator::default().evaluate(Pool::gather([&row]), Time(200));
     assert_eq!(verdict, Verdict::Open, "ten answers are too few");
 }
 
 #[test]
 fn counts_that_shrink_are_no_evidence() {
     // A box that dies takes its counts along.
-    let mut judge = Judge::default();
+    let mut judge = Evaluator::default();
     let row = trial(1, count(0, 500), count(0, 100), 0b11, 0b11);
-    judge.look(Pool::gather([&row]), Time(200));
+    judge.evaluate(Pool::gather([&row]), Time(200));
     let less = trial(1, count(0, 300), count(0, 60), 0b11, 0b11);
-    let verdict = judge.look(Pool::gather([&less]), Time(400));
+    let verdict = judge.evaluate(Pool::gather([&less]), Time(400));
     assert!(matches!(verdict, Verdict::Good(_)), "{verdict:?}");
 }
 
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_time_is_slow_beside_what_is_typical() {
-    let mut typical = Typical::default();
+    let mut typical = Baseline::default();
     assert_eq!(typical.bound(1.0), None);
     for _ in 0..50 {
         typical.learn(Millis(100));
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -67,7 +67,7 @@
         "state": "ready", "coldRemainingMs": 0, "born": 1_700_000_000_000_u64 });
     let reads = |entry: &serde_json::Value| {
         let name = "i-1".parse().expect("a name");
-        record::server(&name, entry.to_string().as_bytes(), &places()).is_ok()
+        record::parse_server(&name, entry.to_string().as_bytes(), &places()).is_ok()
     };
     assert!(reads(&good));
     let odd = [
--- a/tests/server_memory.rs
+++ b/tests/server_memory.rs
@@ -32,12 +32,12 @@
 #[test]
 fn failures_fade() {
     let mut server = Server::default();
-    server.fail(Time(0));
-    server.fail(Time(0));
+    server.record_failure(Time(0));
+    server.record_failure(Time(0));
     assert!(server.failing(Time(0)) > 0.3);
     assert!(server.failing(Time(9000)) < 0.01);
     let mut errors = Server::default();
-    errors.err(Time(0));
+    errors.record_error(Time(0));
     assert!(errors.failing(Time(0)) < 0.1, "one error says little");
 }
 
@@ -45,7 +45,7 @@
 fn prompts_queue_up() {
     let mut server = Server::default();
     let empty = server.first_token(0, Time(0));
-    server.hear(45_000, Time(0));
+    server.add_pending_prompt(45_000, Time(0));
     let busy = server.first_token(0, Time(0));
     assert!(busy >= empty + Millis(900), "a second of reading: {busy}");
     assert!(server.first_token(0, Time(500)) < busy);
--- a/tests/server_pushback.rs
+++ b/tests/server_pushback.rs
@@ -14,7 +14,7 @@
 use petreldrum::{
     config::Backend,
     fleet::Change,
-    pushback::Word,
+    pushback::Pushback,
     reducer::event::{Cause, Event},
     unit::Millis,
     verdict::Verdict,
@@ -126,9 +126,9 @@
 
 #[test]
 fn times_are_read() {
-    let read = |fields: &[&str]| Word::read(fields.iter().map(|field| field.as_bytes()));
-    let span = |millis| Word::Span(Millis(millis));
-    assert_eq!(read(&[]), Word::Silent);
+    let read = |fields: &[&str]| Pushback::read(fields.iter().map(|field| field.as_bytes()));
+    let span = |millis| Pushback::Pause(Millis(millis));
+    assert_eq!(read(&[]), Pushback::Absent);
     assert_eq!(read(&["3"]), span(3000));
     assert_eq!(read(&[" 0.25 "]), span(250));
     assert_eq!(read(&["0"]), span(0));
@@ -147,16 +147,16 @@
         "2, 3",
         "Wed, 21 Oct 2026 07:28:00 GMT",
     ] {
-        assert_eq!(read(&[odd]), Word::Unreadable, "{odd}");
+        assert_eq!(read(&[odd]), Pushback::Unreadable, "{odd}");
     }
-    assert_eq!(Word::read([&b"\xff"[..]]), Word::Unreadable);
+    assert_eq!(Pushback::read([&b"\xff"[..]]), Pushback::Unreadable);
 }
 
 fn pushed_back(backend: &Backend, millis: u64) -> Event {
     Event::PushedBack {
         backend: backend.name.clone(),
         incarnation: backend.incarnation,
-        word: Word::Span(Millis(millis)),
+        word: Pushback::Pause(Millis(millis)),
     }
 }
 
--- a/tests/silent_boxes.rs
+++ b/tests/silent_boxes.rs
@@ -141,7 +141,7 @@
         name: contact(5).name,
         incarnation: Incarnation(7),
         since: Millis(1600),
-        asker: Some(asker),
+        prober: Some(asker),
     };
     let frame = Frame {
         from: contact(7).name,
@@ -149,7 +149,7 @@
         seq: 1 << 40,
         body: Body::Silent(silent),
     };
-    let effects = crowd.step(5, Event::Heard(frame));
+    let effects = crowd.step(5, Event::Received(frame));
     let told: Vec<SocketAddr> = effects
         .iter()
         .filter_map(|effect| match effect {
--- a/tests/stopping_box.rs
+++ b/tests/stopping_box.rs
@@ -19,7 +19,7 @@
         content: Default::default(),
         tag: None,
         request: id::Request(request),
-        credential: Credential::Vouched("a".parse().expect("a name")),
+        credential: Credential::Verified("a".parse().expect("a name")),
         host: None,
         path: "/read/x".to_owned(),
         model: None,
@@ -75,7 +75,7 @@
     let effects = solo.step(Event::Stop);
     let doors = effects.iter().find_map(|e| match e {
         Effect::Gossip { frame, .. } => match &frame.body {
-            Body::Digest(digest) => Some(digest.doors.len()),
+            Body::Digest(digest) => Some(digest.endpoints.len()),
             _ => None,
         },
         _ => None,
--- a/tests/store_away.rs
+++ b/tests/store_away.rs
@@ -47,7 +47,7 @@
     eventually("the new box is ready", || cloud.boxes[1].is_ready()).await;
     cloud.registry.remove("servers/i-1");
     cloud.registry.set_fault(Fault::None);
-    sleep(NEWS + petreldrum::fleet::DOUBT.duration()).await;
+    sleep(NEWS + petreldrum::fleet::OUTAGE_GRACE.duration()).await;
     for number in 0..6 {
         let id = format!("n{number}");
         let answer = cloud.boxes[1].send("/safe/x", &id, "").await;
--- a/tests/store_eras.rs
+++ b/tests/store_eras.rs
@@ -14,7 +14,7 @@
 };
 use petreldrum::{
     config::Backend,
-    fleet::{Change, DOUBT, Era, RESTORED, Revision},
+    fleet::{Change, Era, OUTAGE_GRACE, RESTORE_GRACE, Revision},
     reducer::event::Event,
     unit::Millis,
 };
@@ -114,7 +114,7 @@
 fn list(backends: &[Backend], revision: Revision) -> Event {
     let change = Change::List {
         backends: backends.to_vec(),
-        doubt: DOUBT,
+        grace: OUTAGE_GRACE,
     };
     Event::Fleet { change, revision }
 }
@@ -125,9 +125,9 @@
 }
 
 fn gone(backend: &Backend, revision: Revision) -> Event {
-    let change = Change::Gone {
+    let change = Change::Removed {
         name: backend.name.clone(),
-        doubt: Millis(0),
+        grace: Millis(0),
     };
     Event::Fleet { change, revision }
 }
@@ -193,7 +193,7 @@
     world.step(list(std::slice::from_ref(&one), at(2, 17)));
     let roster = world.state.roster(world.now, None).expect("a list");
     assert_eq!(roster.backends.len(), 1, "others hear what the store tells");
-    world.pass(RESTORED.0 - 200);
+    world.pass(RESTORE_GRACE.0 - 200);
     assert!(!is_served(&world));
     world.pass(300);
     assert!(is_served(&world));
@@ -206,7 +206,7 @@
     world.step(list(std::slice::from_ref(&one), at(2, 17)));
     assert_eq!(world.state.roster(world.now, None).map(known), Some(2));
     world.step(put(&two, at(2, 18)));
-    world.pass(DOUBT.0 + 100);
+    world.pass(OUTAGE_GRACE.0 + 100);
     assert_eq!(world.state.roster(world.now, None).map(known), Some(2));
 }
 
@@ -223,7 +223,7 @@
     world.step(list(std::slice::from_ref(&one), at(2, 17)));
     assert!(!is_served(&world), "the copy is older than the order");
     world.step(evacuated(&["atl-a"], at(2, 18)));
-    world.pass(RESTORED.0 + 1000);
+    world.pass(RESTORE_GRACE.0 + 1000);
     assert!(!is_served(&world), "it was told again");
     world.step(evacuated(&[], at(2, 19)));
     assert!(is_served(&world));
@@ -235,7 +235,7 @@
     let mut world = world(std::slice::from_ref(&one));
     world.step(evacuated(&["atl-a"], at(1, 21)));
     world.step(evacuated(&[], at(2, 17)));
-    world.pass(RESTORED.0 + 100);
+    world.pass(RESTORE_GRACE.0 + 100);
     assert!(is_served(&world));
 }
 
--- a/tests/store_news.rs
+++ b/tests/store_news.rs
@@ -10,8 +10,8 @@
 use bolero::check;
 use harness::crowd::{Crowd, TICK, address};
 use petreldrum::{
-    config::{Backend, Draft, Labels},
-    fleet::{Change, DOUBT, Era, RESTORED, Revision},
+    config::{Backend, Builder, Labels},
+    fleet::{Change, Era, OUTAGE_GRACE, RESTORE_GRACE, Revision},
     reducer::{
         effect::{Effect, Follow},
         event::Event,
@@ -77,9 +77,9 @@
 
     fn of(boxes: usize) -> Self {
         let mut region = Self {
-            crowd: Crowd::in_two_domains(boxes, Arc::new(Draft::default().finish())),
+            crowd: Crowd::in_two_domains(boxes, Arc::new(Builder::default().build())),
             store: Store::default(),
-            follow: vec![Follow::Alone; boxes],
+            follow: vec![Follow::Direct; boxes],
             told: vec![0; boxes],
             told_era: vec![Era::default(); boxes],
             fetched: 0,
@@ -116,7 +116,7 @@
                 Change::Put(backend) => {
                     backends.insert(backend.name.clone(), backend.clone());
                 }
-                Change::Gone { name, .. } => {
+                Change::Removed { name, .. } => {
                     backends.remove(name);
                 }
                 Change::List { .. } => {}
@@ -125,9 +125,12 @@
         let backends: Vec<Backend> = backends.into_values().collect();
         let doubt = match self.told_era[number] == self.store.era {
             true => Millis(0),
-            false => DOUBT,
+            false => OUTAGE_GRACE,
+        };
+        let change = Change::List {
+            backends,
+            grace: doubt,
         };
-        let change = Change::List { backends, doubt };
         let revision = self.until();
         self.step(number, Event::Fleet { change, revision });
         self.step(number, Event::Synced(revision));
@@ -137,7 +140,7 @@
 
     /// The store tells what is new to a box that follows it.
     fn answer(&mut self, number: usize) {
-        if self.follow[number] == Follow::Rest || self.store.away.contains(&number) {
+        if self.follow[number] == Follow::Forwarded || self.store.away.contains(&number) {
             return;
         }
         if self.told_era[number] != self.store.era {
@@ -165,7 +168,7 @@
     fn carry_out(&mut self, number: usize, effect: Effect) {
         match effect {
             Effect::Follow(follow) => {
-                let resumes = self.follow[number] == Follow::Rest;
+                let resumes = self.follow[number] == Follow::Forwarded;
                 self.follow[number] = follow;
                 if resumes && !self.store.away.contains(&number) {
                     self.read_all(number);
@@ -231,7 +234,9 @@
             1 => {
                 let name = backend(u64::from(which % 8), false).name;
                 let doubt = Millis(0);
-                self.store.changes.push(Change::Gone { name, doubt });
+                self.store
+                    .changes
+                    .push(Change::Removed { name, grace: doubt });
             }
             2 => self.store.away.extend(self.hubs()),
             3 => self.store.away.clear(),
@@ -270,14 +275,14 @@
 #[test]
 fn only_hubs_follow() {
     let region = Region::new();
-    let followers = region.follow.iter().filter(|f| **f != Follow::Rest);
+    let followers = region.follow.iter().filter(|f| **f != Follow::Forwarded);
     assert_eq!(followers.count(), 4, "two of each failure domain");
     assert_eq!(region.hubs().len(), 4);
 }
 
 #[test]
 fn small_regions_have_none() {
-    let mut crowd = Crowd::on_platform(3, Arc::new(Draft::default().finish()));
+    let mut crowd = Crowd::on_platform(3, Arc::new(Builder::default().build()));
     let mut followed = Vec::new();
     for _ in 0..100 {
         crowd.now = crowd.now + Millis(TICK);
@@ -320,7 +325,7 @@
     region.pass(10_000);
     assert_eq!(region.hubs().len(), 4, "others took over");
     let alone = region.follow.iter().zip(&region.crowd.boxes);
-    let alone = alone.filter(|(f, state)| **f == Follow::Alone && state.is_some());
+    let alone = alone.filter(|(f, state)| **f == Follow::Direct && state.is_some());
     assert_eq!(alone.count(), 0);
 }
 
@@ -348,7 +353,7 @@
     assert!(behind.iter().all(|n| away.contains(n)), "{behind:?}");
     region.store.away.clear();
     region.pass(5000);
-    let followers = region.follow.iter().filter(|f| **f != Follow::Rest);
+    let followers = region.follow.iter().filter(|f| **f != Follow::Forwarded);
     assert_eq!(followers.count(), 4, "the hubs are back");
     assert!(region.behind().is_empty(), "{:?}", region.behind());
 }
@@ -392,7 +397,7 @@
             }
         }
         // What the copies lacked is not doubted any more.
-        region.pass(RESTORED.0);
+        region.pass(RESTORE_GRACE.0);
         region.settle();
     });
 }
@@ -428,7 +433,7 @@
     let effects = region.crowd.step(hub, Event::Synced(Revision::first(1)));
     let news = effects.iter().find_map(|effect| match effect {
         Effect::Gossip { frame, .. } => match &frame.body {
-            Body::News(news) => Some(news.clone()),
+            Body::StoreUpdate(news) => Some(news.clone()),
             _ => None,
         },
         _ => None,
--- a/tests/suspended_box.rs
+++ b/tests/suspended_box.rs
@@ -12,7 +12,7 @@
 use harness::solo::{BASE, Solo, caller, replies, sends, server};
 use nix::time::{ClockId, clock_gettime};
 use petreldrum::{
-    gateway::clock::Moment,
+    gateway::clock::BootInstant,
     reducer::{
         effect::{Alarm, Effect},
         event::Event,
@@ -24,7 +24,7 @@
 #[test]
 fn the_clock_counts_a_suspension() {
     let before = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).expect("it reads"));
-    let moment = Moment::now();
+    let moment = BootInstant::now();
     let after = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).expect("it reads"));
     assert!(before <= moment.since_boot() && moment.since_boot() <= after);
 }
@@ -40,7 +40,7 @@
     let effects = solo.arrive("a", None);
     let alarm = effects
         .iter()
-        .any(|e| matches!(e, Effect::Alarm(Alarm::Frozen(_))));
+        .any(|e| matches!(e, Effect::Alarm(Alarm::Suspended(_))));
     assert!(alarm);
     assert!(sends(&effects).is_empty());
     assert_eq!(replies(&effects)[0].verdict, Verdict::NotRun);
--- a/tests/turned_away.rs
+++ b/tests/turned_away.rs
@@ -22,7 +22,7 @@
     solo::news,
 };
 use petreldrum::{
-    config::Draft,
+    config::Builder,
     fleet::{Change, Revision, Roster},
     reducer::{effect::Effect, event::Event},
     unit::Millis,
@@ -90,7 +90,7 @@
     cloud.register("i-1", address, "atl", "ready");
     cloud.registry.remove("servers/i-3");
     store.set_fault(Fault::None);
-    sleep(BY_PEERS + petreldrum::fleet::DOUBT.duration()).await;
+    sleep(BY_PEERS + petreldrum::fleet::OUTAGE_GRACE.duration()).await;
     assert_eq!(serving(&cloud.boxes[1]).await, ["i-1"]);
 }
 
@@ -115,7 +115,7 @@
 fn know_first(crowd: &mut Crowd, number: usize) {
     let list = Change::List {
         backends: vec![],
-        doubt: Millis(0),
+        grace: Millis(0),
     };
     crowd.step(number, news(list));
     crowd.step(number, Event::Synced(Revision::first(1)));
@@ -123,7 +123,7 @@
 
 /// Two boxes that know the store up to its first change.
 fn pair() -> Crowd {
-    let config = std::sync::Arc::new(Draft::default().finish());
+    let config = std::sync::Arc::new(Builder::default().build());
     let mut pair = Crowd::on_platform(2, config);
     (0..2).for_each(|number| know_first(&mut pair, number));
     pair.pass(3000);
@@ -133,7 +133,7 @@
 /// How long it takes until the boxes of a region that does not hear the store any more know what box 0 of another
 /// one heard, where they start one `apart` after the other and that comes `phase` ms later.
 fn lag_elsewhere(apart: u64, phase: u64) -> Millis {
-    let config = std::sync::Arc::new(Draft::default().finish());
+    let config = std::sync::Arc::new(Builder::default().build());
     let mut crowd = Crowd::across_regions(6, config);
     for number in 0..6 {
         crowd.pass(apart);
--- a/tests/unequal_boxes.rs
+++ b/tests/unequal_boxes.rs
@@ -12,10 +12,10 @@
     solo::{BASE, Solo, caller, server},
 };
 use petreldrum::{
-    config::{Draft, Version},
+    config::{Builder, Version},
     fleet::Revision,
     id::{self, Incarnation},
-    member::{HEARTBEAT, Table},
+    member::{MIN_HEARTBEAT_PERIOD, Table},
     reducer::{effect::Effect, event::Event},
     size::{Room, Weight},
     unit::{Millis, Time},
@@ -47,11 +47,11 @@
 }
 
 fn sized(crowd: &mut Crowd, number: usize, weight: u16) {
-    crowd.step(number, Event::Sized(Weight::new(weight)));
+    crowd.step(number, Event::WeightChanged(Weight::new(weight)));
 }
 
 fn crowd(weight: impl Fn(usize) -> u16) -> Crowd {
-    let mut crowd = Crowd::in_one_region(BOXES, Draft::default().finish().into());
+    let mut crowd = Crowd::in_one_region(BOXES, Builder::default().build().into());
     for number in 0..BOXES {
         sized(&mut crowd, number, weight(number));
     }
@@ -103,8 +103,8 @@
 
 #[test]
 fn equal_sizes_change_nothing() {
-    let mut silent = Crowd::in_three_regions(60, Draft::default().finish().into());
-    let mut equal = Crowd::in_three_regions(60, Draft::default().finish().into());
+    let mut silent = Crowd::in_three_regions(60, Builder::default().build().into());
+    let mut equal = Crowd::in_three_regions(60, Builder::default().build().into());
     for number in 0..60 {
         sized(&mut equal, number, SMALL);
     }
@@ -195,7 +195,7 @@
             };
             let number = crowd.by_gossip(to).expect("a box");
             match &frame.body {
-                Body::Heartbeat(beat) if beat.pace == HEARTBEAT => heard[number] += 1.0,
+                Body::Heartbeat(beat) if beat.pace == MIN_HEARTBEAT_PERIOD => heard[number] += 1.0,
                 Body::Tally(_) => tallies[number] += 1.0,
                 _ => {}
             }
@@ -223,7 +223,7 @@
         version: Version(1),
         revision: Revision::first(0),
         phase: Phase::Ready,
-        pace: HEARTBEAT,
+        pace: MIN_HEARTBEAT_PERIOD,
         boxes: BOXES as u32 - 1,
         busy,
         loads: vec![],
@@ -249,7 +249,7 @@
     let mut table = Table::new(beat(number, 0, room(0)).contact, Incarnation(1));
     table.room = room(weight(number));
     for other in (0..BOXES).filter(|n| *n != number) {
-        table.heartbeat(Incarnation(1), beat(other, 0, room(weight(other))), Time(0));
+        table.apply_heartbeat(Incarnation(1), beat(other, 0, room(weight(other))), Time(0));
     }
     table
 }
@@ -283,7 +283,7 @@
 fn shares_go_by_count() {
     let standing = |weight: &dyn Fn(usize) -> u16| {
         let table = table(0, weight);
-        table.standing("service", |_| Millis(0), Time(0))
+        table.rank_among_active("service", |_| Millis(0), Time(0))
     };
     assert_eq!(standing(&mixed), standing(&|_| 0));
 }
@@ -342,7 +342,7 @@
             seq,
             body: Body::Heartbeat(beat(number, busy, told)),
         };
-        solo.step(Event::Heard(frame));
+        solo.step(Event::Received(frame));
     }
 }
 
@@ -379,7 +379,7 @@
         server("s1", "perth", 60)
     );
     let mut solo = Solo::new(&text);
-    solo.step(Event::Sized(Weight::new(SMALL)));
+    solo.step(Event::WeightChanged(Weight::new(SMALL)));
     beside(&mut solo, 1, 20, false);
     solo
 }
@@ -426,7 +426,7 @@
 
 #[test]
 fn doors_are_those_with_room() {
-    let mut crowd = Crowd::in_three_regions(78, Draft::default().finish().into());
+    let mut crowd = Crowd::in_three_regions(78, Builder::default().build().into());
     let weight = |n: usize| mixed(n / 3);
     for number in 0..78 {
         sized(&mut crowd, number, weight(number));
@@ -436,7 +436,10 @@
     for _ in 0..30 {
         crowd.pass(100);
         for (_, frame) in &crowd.mail {
-            if let Body::Digest(Digest { doors, .. }) = &frame.body {
+            if let Body::Digest(Digest {
+                endpoints: doors, ..
+            }) = &frame.body
+            {
                 let numbers = doors
                     .iter()
                     .filter_map(|d| crowd.by_gossip(d.contact.gossip));
--- a/tests/waiting_line.rs
+++ b/tests/waiting_line.rs
@@ -85,7 +85,7 @@
     solo.arrive("a", None);
     let mut relay = arrival(77, "a", Some(Millis(4000)));
     if let Event::Arrived(arrival) = &mut relay {
-        arrival.credential = Credential::Vouched("a".parse().expect("a name"));
+        arrival.credential = Credential::Verified("a".parse().expect("a name"));
         arrival.hop = Hop::Relay("bunbury".parse().expect("a name"));
     }
     assert!(waits(&solo.step(relay)));
--- a/tests/worst_customers.rs
+++ b/tests/worst_customers.rs
@@ -32,7 +32,7 @@
                 10..13 if request == 0 => Outcome::Late,
                 _ => Outcome::Served,
             };
-            service.note(&customer(number), outcome, now);
+            service.record(&customer(number), outcome, now);
         }
     }
     assert_eq!(
@@ -48,9 +48,9 @@
 #[test]
 fn lone_refusal_is_not_the_worst() {
     let (mut service, now) = (Service::default(), Time(0));
-    service.note(&customer(1), Outcome::Refused, now);
+    service.record(&customer(1), Outcome::Refused, now);
     for _ in 0..20 {
-        service.note(&customer(2), Outcome::Refused, now);
+        service.record(&customer(2), Outcome::Refused, now);
     }
     assert_eq!(names(&service, now), ["c00002"]);
 }
@@ -60,14 +60,14 @@
 fn late_newcomers_find_room() {
     let (mut service, now) = (Service::default(), Time(0));
     for number in 0..20_000 {
-        service.note(&customer(number), Outcome::Served, now);
+        service.record(&customer(number), Outcome::Served, now);
     }
     for _ in 0..5 {
-        service.note(&customer(30_000), Outcome::Late, now);
+        service.record(&customer(30_000), Outcome::Late, now);
     }
     assert_eq!(names(&service, now), ["c30000"]);
     for number in 0..20_000 {
-        service.note(&customer(number), Outcome::Refused, now);
+        service.record(&customer(number), Outcome::Refused, now);
     }
     assert_eq!(service.worst(now).len(), 16);
     service.sweep(Time(70_000));
