--- a/standin/src/crowd.rs
+++ b/standin/src/crowd.rs
@@ -10,7 +10,7 @@
 };
 
 use petreldrum::{
-    config::{Backend, Config, Draft},
+    config::{Backend, Builder, Config},
     id::{self, Incarnation},
     policy::Balanced,
     reducer::{
@@ -123,7 +123,7 @@
 impl Crowd {
     /// Starts boxes with an empty configuration.
     pub fn new(size: usize) -> Self {
-        Self::start(size, Arc::new(Draft::default().finish()), false, 1, 1)
+        Self::start(size, Arc::new(Builder::default().build()), false, 1, 1)
     }
 
     /// Starts boxes on a platform where backend servers register themselves.
@@ -275,7 +275,7 @@
             match number {
                 Some(number) if self.frozen.contains(&number) => self.mail.push((to, frame)),
                 Some(number) => {
-                    let effects = self.step(number, Event::Heard(frame));
+                    let effects = self.step(number, Event::Received(frame));
                     all_effects.extend(effects.into_iter().map(|effect| (number, effect)));
                 }
                 None => {}
--- a/standin/src/measure/start.rs
+++ b/standin/src/measure/start.rs
@@ -6,7 +6,7 @@
     config::Backend,
     fleet::{Change, Revision},
     gateway::pack,
-    platform::{Places, record},
+    platform::{Topology, record},
     reducer::{
         effect::{Effect, Follow},
         event::Event,
@@ -47,7 +47,7 @@
 
 fn config() -> Arc<petreldrum::config::Config> {
     let envelope = record::envelope(CONFIG.into()).expect("valid configuration");
-    Arc::new(record::config(&envelope, &Places::default()).expect("valid configuration"))
+    Arc::new(record::parse_config(&envelope, &Topology::default()).expect("valid configuration"))
 }
 
 fn server(number: usize, region: &str) -> Backend {
@@ -64,7 +64,7 @@
         Self {
             full_list_bytes: pack::pack(&servers).map_or(0, |packed| packed.len()),
             crowd,
-            follows: vec![Follow::Alone; boxes],
+            follows: vec![Follow::Direct; boxes],
             revision: Revision::first(servers.len() as u64),
             servers,
             inventory_requests: 0,
@@ -81,7 +81,7 @@
             let boxes = self.crowd.boxes.len() as u64;
             for number in 0..self.follows.len() {
                 let reads = READ_SPREAD_MS * number as u64 / boxes / TICK * TICK + TICK == now;
-                if reads && self.follows[number] != Follow::Rest {
+                if reads && self.follows[number] != Follow::Forwarded {
                     self.read(number);
                 }
             }
@@ -104,7 +104,10 @@
     fn read(&mut self, number: usize) {
         self.calls += self.servers.len().div_ceil(500);
         let (backends, doubt) = (self.servers.clone(), Millis(0));
-        let change = Change::List { backends, doubt };
+        let change = Change::List {
+            backends,
+            grace: doubt,
+        };
         let revision = self.revision;
         self.step(number, Event::Fleet { change, revision });
         self.step(number, Event::Synced(revision));
@@ -122,7 +125,7 @@
     fn notify(&mut self, changed: &[Backend]) {
         let revision = self.revision;
         for number in 0..self.follows.len() {
-            if self.follows[number] == Follow::Rest {
+            if self.follows[number] == Follow::Forwarded {
                 continue;
             }
             self.calls += 1;
@@ -144,7 +147,7 @@
         match effect {
             Effect::Inventory { .. } => self.inventory_requests += 1,
             Effect::Follow(follow) => {
-                if follow != Follow::Rest && self.follows[number] == Follow::Rest {
+                if follow != Follow::Forwarded && self.follows[number] == Follow::Forwarded {
                     self.read(number);
                 }
                 self.follows[number] = follow;
--- a/standin/src/releases/servers.rs
+++ b/standin/src/releases/servers.rs
@@ -4,7 +4,7 @@
 
 use petreldrum::{
     config::{Backend, Config},
-    platform::{Places, record},
+    platform::{Topology, record},
     unit::Millis,
 };
 
@@ -56,12 +56,12 @@
         let domain = format!("{region}-a").parse().expect("valid name");
         (domain, region.parse().expect("valid name"))
     });
-    let places = Places {
+    let places = Topology {
         domains: places.into(),
-        hop: Millis(110),
-        beat: Millis(1200),
+        round_trip: Millis(110),
+        heartbeat: Millis(1200),
     };
-    Arc::new(record::config(&envelope, &places).expect("valid configuration"))
+    Arc::new(record::parse_config(&envelope, &places).expect("valid configuration"))
 }
 
 pub(super) fn server(
--- a/tests/config_text.rs
+++ b/tests/config_text.rs
@@ -2,7 +2,7 @@
 
 use bolero::check;
 use petreldrum::{
-    config::{Ask, Config, Envelope, KeyHash, Matcher, Version},
+    config::{Config, Envelope, KeyHash, Matcher, Query, Version},
     ini::Faults,
     settings::Settings,
 };
@@ -120,9 +120,9 @@
                 list(*selector),
             );
             let config = parse(&text).expect("configuration is valid");
-            let ask = Ask {
+            let ask = Query {
                 host: None,
-                draw: 0,
+                random: 0,
                 customer: "a".parse().expect("valid name"),
                 path: "/r/x".to_owned(),
                 model: None,
@@ -136,7 +136,7 @@
                 Ok(plan) => {
                     for (index, region) in regions.iter().enumerate() {
                         let region = region.parse().expect("valid name");
-                        assert_eq!(plan.permits(&region), allowed(index));
+                        assert_eq!(plan.permits_region(&region), allowed(index));
                     }
                 }
             }
--- a/tests/departure_news.rs
+++ b/tests/departure_news.rs
@@ -14,7 +14,7 @@
     reducer::{effect::Effect, event::Event},
     settings::Secret,
     unit::Millis,
-    wire::{Body, Departure, Frame, Short},
+    wire::{Body, Departure, Frame, NameHash},
 };
 
 fn departing(backend: &Backend) -> Event {
@@ -26,12 +26,12 @@
 
 /// Returns a report of another box that a backend server leaves.
 fn report(backend: &Backend, seq: u64, age: u64) -> Event {
-    Event::Heard(Frame {
+    Event::Received(Frame {
         from: "other".parse().expect("valid name"),
         incarnation: Incarnation(9),
         seq,
         body: Body::Departures(vec![Departure {
-            backend: Short::of(backend.name.as_str()),
+            backend: NameHash::of(backend.name.as_str()),
             life: backend.life(),
             age: Millis(age),
         }]),
@@ -87,9 +87,9 @@
     let mut world = World::new(vec![one.clone()]);
     world.pass(5000);
     world.step(departing(&one));
-    let gone = Change::Gone {
+    let gone = Change::Removed {
         name: one.name.clone(),
-        doubt: Millis(0),
+        grace: Millis(0),
     };
     world.step(news(gone));
     world.pass(20_000);
@@ -110,7 +110,7 @@
     assert!(roster.backends[0].leaving);
     // A box sends a heartbeat to each box that it newly learns of.
     let other = World::at("other", vec![one.clone()]).first_heartbeat();
-    let effects = world.step(Event::Heard(other));
+    let effects = world.step(Event::Received(other));
     let rows = effects.iter().find_map(|effect| match effect {
         Effect::Gossip { frame, .. } => match &frame.body {
             Body::Heartbeat(beat) => Some(beat.departures.clone()),
@@ -154,8 +154,8 @@
     let secret: Secret = "0123456789abcdef".parse().expect("valid secret");
     let size = |count: u32| {
         let departure = |number: u32| Departure {
-            backend: Short(u32::MAX - number),
-            life: Short(u32::MAX - number),
+            backend: NameHash(u32::MAX - number),
+            life: NameHash(u32::MAX - number),
             age: Millis(600_000),
         };
         let frame = Frame {
--- a/tests/engine_caches.rs
+++ b/tests/engine_caches.rs
@@ -92,7 +92,7 @@
         Effect::Gossip { frame, .. } => Some(frame.clone()),
         _ => None,
     });
-    world.step(Event::Heard(
+    world.step(Event::Received(
         heartbeat.expect("first tick sends a heartbeat"),
     ));
     let effects = world.told("a", vec![SHARED, short]);
--- a/tests/engine_news.rs
+++ b/tests/engine_news.rs
@@ -16,13 +16,13 @@
     fleet::Change as Listing,
     id::Incarnation,
     memory::{
-        news::{Change, Gone, News, Told, Word},
         prompt::Part,
+        report::{Change, Corrections, EngineCorrections, Eviction, Report},
     },
     platform::record,
     reducer::{effect::Effect, event::Event},
     unit::{Millis, Time},
-    wire::{Body, Frame, Reading, Short},
+    wire::{Body, Frame, NameHash, Reading},
 };
 
 const OWN: Part = Part { id: 2, tokens: 500 };
@@ -47,16 +47,16 @@
     names
 }
 
-fn engine_update(name: &str, news: News) -> Event {
-    Event::EngineNews {
+fn engine_update(name: &str, news: Report) -> Event {
+    Event::EngineReport {
         backend: name.parse().expect("valid name"),
         incarnation: engine(name, "ready", 0).incarnation,
         news,
     }
 }
 
-fn changes(changes: &[Change]) -> News {
-    News::Changes(changes.to_vec())
+fn changes(changes: &[Change]) -> Report {
+    Report::Changes(changes.to_vec())
 }
 
 /// Returns the tokens that the engine has to read of a prompt with the shared part, and whether the
@@ -68,7 +68,7 @@
 
 /// Returns a message from another box of the region.
 fn message(seq: u64, body: Body) -> Event {
-    Event::Heard(Frame {
+    Event::Received(Frame {
         from: contact("other", "atl", 40).name,
         incarnation: Incarnation(1),
         seq,
@@ -78,7 +78,7 @@
 
 fn reading(name: &str) -> Body {
     Body::Reading(Reading {
-        backend: Short::of(name),
+        backend: NameHash::of(name),
         prompt: UNREAD,
         tokens: UNREAD,
         fetched: 0,
@@ -92,7 +92,7 @@
 fn engines_that_offer_no_updates_are_not_followed() {
     let mut world = World::new(vec![engine("a", "ready", 0)]);
     assert!(newly_followed(&mut world, 5000).is_empty());
-    world.step(engine_update("a", News::All(vec![SHARED])));
+    world.step(engine_update("a", Report::All(vec![SHARED])));
     assert_eq!(unread(&mut world), (UNREAD, false));
 }
 
@@ -127,7 +127,7 @@
     for (end, expected) in [(false, OWN.tokens), (true, UNREAD)] {
         let mut world = world(vec![engine("a", "ready", 0)]);
         newly_followed(&mut world, 500);
-        world.step(engine_update("a", News::All(vec![SHARED])));
+        world.step(engine_update("a", Report::All(vec![SHARED])));
         world.pass(1500);
         let change = if end {
             Change::Gone(SHARED.id)
@@ -145,7 +145,7 @@
 fn old_eviction_does_not_undo_a_newer_reading() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     newly_followed(&mut world, 500);
-    world.step(engine_update("a", News::All(vec![SHARED])));
+    world.step(engine_update("a", Report::All(vec![SHARED])));
     world.pass(3000);
     world.step(message(1, reading("a")));
     world.pass(300);
@@ -163,7 +163,7 @@
         world.now = Time(2010);
         world.step(message(
             2,
-            Body::Kept(box_report("a", &[], &[(SHARED.id, age)])),
+            Body::Corrections(box_report("a", &[], &[(SHARED.id, age)])),
         ));
         assert_eq!(unread(&mut world), (expected, true), "age {age}");
     }
@@ -175,7 +175,7 @@
 fn parts_that_were_never_read_are_dropped() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     newly_followed(&mut world, 500);
-    world.step(engine_update("a", News::All(vec![])));
+    world.step(engine_update("a", Report::All(vec![])));
     world.step(message(1, reading("a")));
     for _ in 0..8 {
         world.pass(1000);
@@ -189,9 +189,9 @@
 fn list_repairs_a_gap() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     newly_followed(&mut world, 500);
-    world.step(engine_update("a", News::All(vec![SHARED])));
+    world.step(engine_update("a", Report::All(vec![SHARED])));
     world.pass(2000);
-    world.step(engine_update("a", News::Gap));
+    world.step(engine_update("a", Report::Gap));
     world.step(engine_update("a", changes(&[Change::Kept(OWN)])));
     let at = world.now;
     let send = world.prompt(&[SHARED, OWN]).remove(0);
@@ -200,7 +200,7 @@
         "changes after a gap are not the whole cache"
     );
     world.now = at + Millis(1500);
-    world.step(engine_update("a", News::All(vec![])));
+    world.step(engine_update("a", Report::All(vec![])));
     world.pass(1500);
     world.step(engine_update("a", changes(&[])));
     assert_eq!(unread(&mut world), (UNREAD, true));
@@ -211,7 +211,7 @@
 fn silent_engine_is_estimated() {
     let mut world = world(vec![engine("a", "ready", 0)]);
     newly_followed(&mut world, 500);
-    world.step(engine_update("a", News::All(vec![SHARED])));
+    world.step(engine_update("a", Report::All(vec![SHARED])));
     world.pass(5000);
     assert_eq!(unread(&mut world), (OWN.tokens, false));
 }
@@ -228,23 +228,23 @@
         ["a"],
         "the new incarnation is followed"
     );
-    world.step(Event::EngineNews {
+    world.step(Event::EngineReport {
         backend: "a".parse().expect("valid name"),
         incarnation: life("a", "ready", 0, 5).incarnation,
-        news: News::All(vec![SHARED]),
+        news: Report::All(vec![SHARED]),
     });
     assert_eq!(unread(&mut world), (UNREAD, false));
 }
 
-fn box_report(name: &str, kept: &[u64], gone: &[(u64, u64)]) -> Told {
-    let gone = gone.iter().map(|(part, age)| Gone {
+fn box_report(name: &str, kept: &[u64], gone: &[(u64, u64)]) -> Corrections {
+    let gone = gone.iter().map(|(part, age)| Eviction {
         part: *part,
         age: Millis(*age),
     });
-    Told {
-        lasts: Millis(9000),
-        engines: vec![Word {
-            backend: Short::of(name),
+    Corrections {
+        valid_for: Millis(9000),
+        engines: vec![EngineCorrections {
+            backend: NameHash::of(name),
             life: engine(name, "ready", 0).life(),
             kept: kept.to_vec(),
             gone: gone.collect(),
@@ -264,7 +264,7 @@
     fn new(boxes: usize, engines: usize) -> Self {
         let envelope = record::envelope(TELLING.into()).expect("record is valid");
         let config: Arc<Config> =
-            Arc::new(record::config(&envelope, &places()).expect("record is valid"));
+            Arc::new(record::parse_config(&envelope, &places()).expect("record is valid"));
         let mut crowd = Crowd::on_platform(boxes, config);
         let backends = |n| Backend {
             region: "perth".parse().expect("valid name"),
@@ -272,7 +272,7 @@
         };
         let list = Listing::List {
             backends: (0..engines).map(backends).collect(),
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         for number in 0..boxes {
             crowd.step(number, news(list.clone()));
@@ -288,7 +288,7 @@
             for (number, effect) in self.crowd.tick() {
                 match effect {
                     Effect::FollowEngine { backend, .. } => {
-                        let all = engine_update(backend.as_str(), News::All(vec![SHARED]));
+                        let all = engine_update(backend.as_str(), Report::All(vec![SHARED]));
                         self.crowd.step(number, all);
                         self.follows
                             .entry(backend.to_string())
@@ -448,35 +448,37 @@
     check!()
         .with_type::<(u64, Vec<Row>)>()
         .for_each(|(lasts, rows)| {
-            let reports = rows.iter().map(|(backend, life, kept, gone)| Word {
-                backend: Short(*backend),
-                life: Short(*life),
-                kept: kept.clone(),
-                gone: gone
-                    .iter()
-                    .map(|(part, age)| Gone {
-                        part: *part,
-                        age: Millis(*age),
-                    })
-                    .collect(),
-            });
-            let mut engines: Vec<Word> = reports.collect();
+            let reports = rows
+                .iter()
+                .map(|(backend, life, kept, gone)| EngineCorrections {
+                    backend: NameHash(*backend),
+                    life: NameHash(*life),
+                    kept: kept.clone(),
+                    gone: gone
+                        .iter()
+                        .map(|(part, age)| Eviction {
+                            part: *part,
+                            age: Millis(*age),
+                        })
+                        .collect(),
+                });
+            let mut engines: Vec<EngineCorrections> = reports.collect();
             if let Some(first) = engines.first_mut() {
-                first.backend = Short::of("a");
+                first.backend = NameHash::of("a");
                 first.life = engine("a", "ready", 0).life();
             }
-            let body = Body::Kept(Told {
-                lasts: Millis(*lasts),
+            let body = Body::Corrections(Corrections {
+                valid_for: Millis(*lasts),
                 engines,
             });
-            let Event::Heard(frame) = message(1, body) else {
+            let Event::Received(frame) = message(1, body) else {
                 return;
             };
             let bytes = frame.encode(&secret);
             assert_eq!(Frame::decode(&secret, &bytes), Ok(frame.clone()));
             let mut world = world(vec![engine("a", "ready", 0)]);
             world.pass(1000);
-            world.step(Event::Heard(frame));
+            world.step(Event::Received(frame));
             world.pass(500);
             let send = world.prompt(&[SHARED, OWN]).remove(0);
             assert_eq!(target(&send), "a");
--- a/tests/fleet_changes.rs
+++ b/tests/fleet_changes.rs
@@ -3,10 +3,10 @@
 
 use petreldrum::{
     config::{Backend, Labels},
-    fleet::{Change, DOUBT, Fleet},
+    fleet::{Change, Fleet, OUTAGE_GRACE},
     id::Domain,
     unit::{Millis, Time},
-    wire::Short,
+    wire::NameHash,
 };
 
 const NO_DOUBT: Millis = Millis(0);
@@ -33,7 +33,7 @@
 fn list(names: &[&str], doubt: Millis) -> Change {
     Change::List {
         backends: names.iter().map(|name| backend(name, 0)).collect(),
-        doubt,
+        grace: doubt,
     }
 }
 
@@ -48,9 +48,9 @@
 fn removed_server_leaves_at_once() {
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a", "b"], NO_DOUBT), Time(0));
-    let gone = Change::Gone {
+    let gone = Change::Removed {
         name: "a".parse().expect("valid name"),
-        doubt: NO_DOUBT,
+        grace: NO_DOUBT,
     };
     fleet.apply(gone, Time(10));
     assert_eq!(serving(&fleet), ["b"]);
@@ -63,10 +63,10 @@
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a", "b"], NO_DOUBT), Time(0));
     // The store has recovered without both entries; one server registers again.
-    fleet.apply(list(&[], DOUBT), Time(1000));
+    fleet.apply(list(&[], OUTAGE_GRACE), Time(1000));
     assert_eq!(serving(&fleet), ["a", "b"], "an outage removes no server");
     fleet.apply(Change::Put(backend("a", 0)), Time(2000));
-    let end = Time(1000) + DOUBT;
+    let end = Time(1000) + OUTAGE_GRACE;
     assert!(!fleet.sweep(Time(end.0 - 1)));
     assert!(fleet.sweep(end), "the other server is removed");
     assert_eq!(serving(&fleet), ["a"]);
@@ -102,7 +102,7 @@
     let mut fleet = Fleet::default();
     fleet.apply(list(&["a"], NO_DOUBT), Time(0));
     let domain: Domain = "atl-a".parse().expect("valid name");
-    fleet.chill(&domain, |_| Millis(3000), Time(5000));
+    fleet.mark_cold(&domain, |_| Millis(3000), Time(5000));
     let name = "a".parse().expect("valid name");
     assert!(fleet.is_cold(&name, Time(7999)));
     assert!(!fleet.is_cold(&name, Time(8000)));
@@ -148,7 +148,7 @@
         .with_type::<Vec<FleetChange>>()
         .for_each(|all: &Vec<FleetChange>| {
             let mut fleet = Fleet::default();
-            let doubt = |on: &bool| if *on { DOUBT } else { NO_DOUBT };
+            let doubt = |on: &bool| if *on { OUTAGE_GRACE } else { NO_DOUBT };
             for (second, fleet_change) in all.iter().enumerate() {
                 let now = Time(1000 * second as u64);
                 let change = match fleet_change {
@@ -160,13 +160,13 @@
                         leaving: *leaving,
                         ..any_backend(*name, *service)
                     }),
-                    FleetChange::Gone { name, doubt: on } => Change::Gone {
+                    FleetChange::Gone { name, doubt: on } => Change::Removed {
                         name: any_backend(*name, 0).name,
-                        doubt: doubt(on),
+                        grace: doubt(on),
                     },
                     FleetChange::List { names, doubt: on } => Change::List {
                         backends: names.iter().map(|n| any_backend(*n, *n / 7)).collect(),
-                        doubt: doubt(on),
+                        grace: doubt(on),
                     },
                     FleetChange::Sweep => {
                         fleet.sweep(now);
@@ -200,7 +200,7 @@
         );
     }
     for backend in fleet.iter() {
-        let short = Short::of(backend.name.as_str());
+        let short = NameHash::of(backend.name.as_str());
         assert_eq!(fleet.long(short), Some(&backend.name));
     }
 }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -33,7 +33,7 @@
     let entry = br#"{"service":"s","address":"10.0.0.1:1","zone":"atl-a","slots":12,
         "state":"ready","coldRemainingMs":0}"#;
     let name = format!("engine-{number}").parse().expect("valid name");
-    let backend = record::server(&name, entry, &places()).expect("record is valid");
+    let backend = record::parse_server(&name, entry, &places()).expect("record is valid");
     Backend {
         region: region.parse().expect("valid name"),
         ..backend
@@ -42,7 +42,7 @@
 
 fn crowd_config() -> Arc<Config> {
     let envelope = record::envelope(CONFIG.into()).expect("record is valid");
-    Arc::new(record::config(&envelope, &places()).expect("record is valid"))
+    Arc::new(record::parse_config(&envelope, &places()).expect("record is valid"))
 }
 
 fn crowd() -> Crowd {
@@ -224,7 +224,7 @@
 fn list_of(numbers: Range<usize>) -> Change {
     Change::List {
         backends: numbers.map(|n| engine(n, "perth")).collect(),
-        doubt: Millis(0),
+        grace: Millis(0),
     }
 }
 
@@ -232,9 +232,9 @@
 fn change(what: u8, which: u8) -> Change {
     let which = usize::from(which % 8);
     match what % 4 {
-        0 => Change::Gone {
+        0 => Change::Removed {
             name: engine(which, "perth").name,
-            doubt: Millis(0),
+            grace: Millis(0),
         },
         1 => list_of(which..8),
         _ => Change::Put(Backend {
--- a/tests/harness/oracle.rs
+++ b/tests/harness/oracle.rs
@@ -259,7 +259,7 @@
                 peer: from,
                 version,
             } => self.fetch(index, from, version),
-            Effect::Abort { request, .. } | Effect::Leave { request, .. } => {
+            Effect::Abort { request, .. } | Effect::DetachStream { request, .. } => {
                 self.slots[index].open.remove(&request);
             }
             Effect::Boxes { .. }
@@ -271,21 +271,21 @@
             | Effect::FetchRoster { .. }
             | Effect::Follow(_)
             | Effect::Noted(_)
-            | Effect::Forget(_)
+            | Effect::DeleteAnswer(_)
             | Effect::Watch(_)
-            | Effect::Adopted(_)
+            | Effect::ConfigApplied(_)
             | Effect::Broken { .. }
             | Effect::Repeat(_)
-            | Effect::Knock { .. }
+            | Effect::Probe { .. }
             | Effect::Quarantine(_)
-            | Effect::Settle { .. }
+            | Effect::WriteRollout { .. }
             | Effect::Rollout(_)
-            | Effect::Keep(_)
-            | Effect::Discard(_)
+            | Effect::StoreHeld(_)
+            | Effect::RemoveHeld(_)
             | Effect::Move(_)
-            | Effect::Free(_)
-            | Effect::Close { .. }
-            | Effect::Carried(_)
+            | Effect::FreeCopy(_)
+            | Effect::CompleteStream { .. }
+            | Effect::MoveEnded(_)
             | Effect::Alarm(_) => {}
         }
     }
@@ -314,7 +314,7 @@
             pin: pin::Pin {
                 peer: peer(named),
                 incarnation: Incarnation(slot.incarnation),
-                expiry: uptime + pin::LIFE,
+                expiry: uptime + pin::PIN_LIFETIME,
             },
             digest: pin::Digest::of(&format!("key-{number}")),
             content: number,
@@ -364,7 +364,7 @@
             .collect();
         if let Some((request, _)) = waiting.iter().nth(pick % waiting.len().max(1)) {
             self.slots[index].abandoned.insert(*request);
-            self.dispatch(index, Event::Gone(id::Request(*request)));
+            self.dispatch(index, Event::Disconnected(id::Request(*request)));
             let holds = self.slots[index].state.holds(id::Request(*request));
             if !holds && !self.slots[index].frozen {
                 self.slots[index].clients.remove(&id::Request(*request));
@@ -418,7 +418,7 @@
                 let listed = self.listed.clone();
                 self.dispatch(y % BOXES, Event::Listed(listed));
             }
-            23 if a > 250 => self.advance(pin::LIFE.0),
+            23 if a > 250 => self.advance(pin::PIN_LIFETIME.0),
             _ => self.settle(1),
         }
     }
@@ -458,7 +458,7 @@
                 .count();
             assert_eq!(unanswered, 0, "box {index} has unanswered requests");
         }
-        self.advance(pin::LIFE.0 + 10_000);
+        self.advance(pin::PIN_LIFETIME.0 + 10_000);
         self.settle(40);
         for (index, slot) in self.slots.iter().enumerate() {
             assert_eq!(slot.state.keys(), 0, "box {index} remembers keys");
--- a/tests/harness/oracle/delivery.rs
+++ b/tests/harness/oracle/delivery.rs
@@ -23,7 +23,7 @@
         let credential = match hop {
             Hop::Direct => Credential::Key(key_hash),
             Hop::Relay(_) | Hop::Pass => {
-                Credential::Vouched(format!("c{}", operation.caller).parse().expect("a name"))
+                Credential::Verified(format!("c{}", operation.caller).parse().expect("a name"))
             }
         };
         let arrival = Arrival {
@@ -75,7 +75,7 @@
                 }
                 let unreachable = self.partitioned && region(to) != region(from);
                 if !unreachable && fate % 8 != 6 {
-                    self.dispatch(to, Event::Heard(frame));
+                    self.dispatch(to, Event::Received(frame));
                 }
             }
             InFlight::Attempt {
--- a/tests/head_checks.rs
+++ b/tests/head_checks.rs
@@ -25,14 +25,14 @@
 fn checksum_holds_for_an_unchanged_head() {
     let mut sent = response(&FIELDS);
     Checksum::add(&mut sent);
-    assert!(Checksum::holds(&sent));
+    assert!(Checksum::matches(&sent));
     assert_eq!(sent.headers()["content-length"], "5");
     // The HTTP library adds these fields.
     for name in ["date", "connection"] {
         sent.headers_mut()
             .insert(name, "x".parse().expect("valid header value"));
     }
-    assert!(Checksum::holds(&sent));
+    assert!(Checksum::matches(&sent));
 }
 
 #[test]
@@ -48,13 +48,13 @@
         };
         let mut lost = copy();
         lost.headers_mut().remove(&name);
-        assert!(!Checksum::holds(&lost), "without {name}");
+        assert!(!Checksum::matches(&lost), "without {name}");
         let mut changed = copy();
         changed
             .headers_mut()
             .insert(&name, "1".parse().expect("valid header value"));
-        assert!(!Checksum::holds(&changed), "another {name}");
+        assert!(!Checksum::matches(&changed), "another {name}");
     }
     *sent.status_mut() = hyper::StatusCode::ACCEPTED;
-    assert!(!Checksum::holds(&sent));
+    assert!(!Checksum::matches(&sent));
 }
--- a/tests/held_contents.rs
+++ b/tests/held_contents.rs
@@ -18,13 +18,13 @@
     },
     unit::Millis,
     verdict::Verdict,
-    wire::{Body, Frame, Marks, Short},
+    wire::{Body, Frame, Marks, NameHash},
 };
 
 fn strike(content: Fingerprint, life: u32) -> Strike {
     Strike {
         content,
-        life: Short(life),
+        life: NameHash(life),
         weight: weight(None),
     }
 }
@@ -52,7 +52,7 @@
 
 fn probes(effects: &[Effect]) -> Vec<id::Backend> {
     let probe = |e: &Effect| match e {
-        Effect::Knock { backend, .. } => Some(backend.clone()),
+        Effect::Probe { backend, .. } => Some(backend.clone()),
         _ => None,
     };
     effects.iter().filter_map(probe).collect()
@@ -61,7 +61,7 @@
 fn probe_results(solo: &mut Solo, backends: Vec<id::Backend>, closed: bool) -> Vec<Effect> {
     let events = backends
         .into_iter()
-        .map(|backend| Event::Knocked { backend, closed });
+        .map(|backend| Event::Probed { backend, closed });
     events.flat_map(|event| solo.step(event)).collect()
 }
 
@@ -197,7 +197,7 @@
     strikes: Vec<Strike>,
     cleared: Vec<Fingerprint>,
 ) -> Vec<Effect> {
-    solo.step(Event::Heard(Frame {
+    solo.step(Event::Received(Frame {
         from: "other".parse().expect("valid name"),
         incarnation: Incarnation(1),
         seq,
@@ -256,7 +256,7 @@
     assert_eq!(digest.held.len(), 1);
     digest.region = "bunbury".parse().expect("valid name");
     let mut new_box = solo();
-    new_box.step(Event::Heard(Frame {
+    new_box.step(Event::Received(Frame {
         from: "far".parse().expect("valid name"),
         incarnation: Incarnation(1),
         seq: 1,
--- a/tests/limit_news.rs
+++ b/tests/limit_news.rs
@@ -11,7 +11,7 @@
     config::Backend,
     fleet::Change,
     id::Incarnation,
-    limit::Word,
+    limit::Announcement,
     reducer::{
         effect::Effect,
         event::Event,
@@ -19,7 +19,7 @@
     },
     settings::Secret,
     unit::{Millis, Rate},
-    wire::{Body, Frame, Limit, Short},
+    wire::{Body, Frame, Limit, NameHash},
 };
 
 struct Fixture {
@@ -38,7 +38,7 @@
     /// Delivers a limit reported by another box.
     fn receive(&mut self, server: &Backend, rate: Option<f64>, age: u64) -> Vec<Effect> {
         self.receive_all(vec![Limit {
-            backend: Short::of(server.name.as_str()),
+            backend: NameHash::of(server.name.as_str()),
             life: server.life(),
             rate: rate.map(Rate),
             age: Millis(age),
@@ -53,7 +53,7 @@
             seq: self.seq,
             body: Body::Limits(limits),
         };
-        self.world.step(Event::Heard(frame))
+        self.world.step(Event::Received(frame))
     }
 
     /// Returns the limit that this box assumes for a backend server.
@@ -148,7 +148,7 @@
     let one = engine("one", "ready", 0);
     let mut fixture = Fixture::new(vec![one.clone()]);
     let mut notes = 0;
-    for word in [Word::Most(Rate(1.0)), Word::Unreadable] {
+    for word in [Announcement::Rate(Rate(1.0)), Announcement::Unreadable] {
         for _ in 0..20 {
             fixture.world.now = fixture.world.now + Millis(10);
             let (backend, sent) = (one.name.clone(), fixture.world.now);
@@ -206,8 +206,8 @@
     let secret: Secret = "0123456789abcdef".parse().expect("valid secret");
     let size = |count: u32| {
         let limit = |number: u32| Limit {
-            backend: Short(u32::MAX - number),
-            life: Short(u32::MAX - number),
+            backend: NameHash(u32::MAX - number),
+            life: NameHash(u32::MAX - number),
             rate: Some(Rate(3.9)),
             age: Millis(4000),
         };
--- a/tests/moved_fuzz.rs
+++ b/tests/moved_fuzz.rs
@@ -14,8 +14,8 @@
     fleet::Change,
     id::{Attempt, Request},
     memory::{
-        moved::{Handle, Moved},
         prompt::Part,
+        transfer::{Handle, Handover},
     },
     platform::record,
     reducer::{
@@ -43,7 +43,7 @@
         r#"{{"service":"s","address":"10.0.0.{index}:1","zone":"atl-a","slots":4,"born":{born},{state}}}"#
     );
     let name = ENGINES[index].parse().expect("a name");
-    Change::Put(record::server(&name, entry.as_bytes(), &places()).expect("the entry parses"))
+    Change::Put(record::parse_server(&name, entry.as_bytes(), &places()).expect("the entry parses"))
 }
 
 /// Actual state of one request, which the box only partly knows.
@@ -116,17 +116,17 @@
                 }
                 self.calls.push(call);
             }
-            Effect::Free(origin) => {
+            Effect::FreeCopy(origin) => {
                 if let Some(copy) = self.copies.get_mut(&origin.handle.0) {
                     copy.released = true;
                 }
             }
-            Effect::Abort { request, .. } | Effect::Leave { request, .. } => {
+            Effect::Abort { request, .. } | Effect::DetachStream { request, .. } => {
                 if let Some(run) = self.runs.get_mut(&request) {
                     (run.live, run.closed) = (false, true);
                 }
             }
-            Effect::Reply { request, .. } | Effect::Close { request, .. } => {
+            Effect::Reply { request, .. } | Effect::CompleteStream { request, .. } => {
                 self.runs.remove(&request);
             }
             _ => {}
@@ -203,7 +203,7 @@
             .filter(|run| run.attempt == call.attempt);
         let known = run.filter(|run| run.begun && (run.live || run.stopped.is_some()));
         let result = match (known, choice % 8) {
-            (_, 0) => Moved::Lost,
+            (_, 0) => Handover::Lost,
             // The copy was made before the caller left.
             (None, 4 | 5) if gone => {
                 self.handles += 1;
@@ -215,15 +215,15 @@
                 };
                 self.copies.insert(name.clone(), copy);
                 let handle = Handle(name);
-                Moved::Copied { handle, events: 1 }
+                Handover::Copied { handle, events: 1 }
             }
-            (None, _) => Moved::Absent,
+            (None, _) => Handover::Absent,
             (Some(run), kind) => {
                 let refused = kind == 1;
                 if !call.last && refused {
-                    Moved::Refused
+                    Handover::Refused
                 } else if kind == 2 && !run.live {
-                    Moved::Busy
+                    Handover::Busy
                 } else {
                     let name = || {
                         self.handles += 1;
@@ -248,12 +248,12 @@
                     let name = Handle(handle.clone());
                     // The run stopped, but the answer is lost.
                     if kind == 3 {
-                        Moved::Lost
+                        Handover::Lost
                     } else {
                         self.copies.insert(handle, copy);
                         match refused {
-                            true => Moved::Kept(name),
-                            false => Moved::Copied {
+                            true => Handover::Kept(name),
+                            false => Handover::Copied {
                                 handle: name,
                                 events: 1,
                             },
@@ -278,7 +278,7 @@
         let attempt = run.attempt;
         let timing = Default::default();
         if !whole && (self.resumable || run.stop_requested) {
-            return self.step(Event::Broke { request, attempt });
+            return self.step(Event::StreamCut { request, attempt });
         }
         self.runs.remove(&request);
         self.step(Event::Ended {
@@ -379,7 +379,7 @@
             _ => {
                 if let Some(request) = self.pick(choice, streaming) {
                     self.runs.remove(&request);
-                    self.step(Event::Gone(request));
+                    self.step(Event::Disconnected(request));
                 }
             }
         }
@@ -390,7 +390,7 @@
         // Queued requests are sent or reach their deadline.
         for _ in 0..90 {
             while let Some((request, _)) = self.runs.pop_first() {
-                self.step(Event::Gone(request));
+                self.step(Event::Disconnected(request));
             }
             while !self.calls.is_empty() {
                 self.answer(7);
--- a/tests/moved_runs.rs
+++ b/tests/moved_runs.rs
@@ -13,12 +13,12 @@
     fleet::Change,
     id,
     memory::{
-        moved::{Handle, Moved, Origin},
         prompt::Part,
+        transfer::{Handle, Handover, Origin},
     },
-    platform::{engine::moved, record},
+    platform::{engine::parse_move_answer, record},
     reducer::{
-        effect::{Effect, End, Move, Note, Send},
+        effect::{Effect, Move, MoveOutcome, Note, Send},
         event::{Cause, Event},
     },
     unit::Millis,
@@ -42,7 +42,7 @@
         r#"{{"service":"s","address":"10.0.0.1:{port}","zone":"atl-a","slots":64,"born":1{more}}}"#
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("the entry parses")
+    record::parse_server(&name, entry.as_bytes(), &places()).expect("the entry parses")
 }
 
 fn ready(name: &str) -> Backend {
@@ -97,7 +97,7 @@
     }
 
     /// Delivers the engine's answer to the call.
-    fn answer(&mut self, call: &Move, result: Moved) -> Vec<Effect> {
+    fn answer(&mut self, call: &Move, result: Handover) -> Vec<Effect> {
         self.world.step(Event::Moved {
             request: call.request,
             attempt: call.attempt,
@@ -122,7 +122,7 @@
         let Send {
             request, attempt, ..
         } = self.streams[0];
-        self.world.step(Event::Broke { request, attempt })
+        self.world.step(Event::StreamCut { request, attempt })
     }
 
     fn failed(&mut self, send: &Send, verdict: Verdict, cause: Cause) -> Vec<Effect> {
@@ -135,9 +135,9 @@
     }
 }
 
-fn copied(handle: &str) -> Moved {
+fn copied(handle: &str) -> Handover {
     let handle = Handle(handle.to_owned());
-    Moved::Copied { handle, events: 7 }
+    Handover::Copied { handle, events: 7 }
 }
 
 fn calls(effects: &[Effect]) -> Vec<Move> {
@@ -149,17 +149,17 @@
 }
 
 fn freed(effects: &[Effect]) -> Vec<&str> {
-    let free = |e: &'_ Effect| matches!(e, Effect::Free(_));
+    let free = |e: &'_ Effect| matches!(e, Effect::FreeCopy(_));
     let handle = |e| match e {
-        &Effect::Free(Origin { ref handle, .. }) => handle.0.as_str(),
+        &Effect::FreeCopy(Origin { ref handle, .. }) => handle.0.as_str(),
         _ => unreachable!(),
     };
     effects.iter().filter(|e| free(e)).map(handle).collect()
 }
 
-fn ends(effects: &[Effect]) -> Vec<End> {
+fn ends(effects: &[Effect]) -> Vec<MoveOutcome> {
     let end = |e: &Effect| match e {
-        Effect::Carried(carried) => Some(carried.end),
+        Effect::MoveEnded(carried) => Some(carried.end),
         _ => None,
     };
     effects.iter().filter_map(end).collect()
@@ -199,7 +199,7 @@
     let effects = scene.world.step(Event::Begun { request, attempt });
     assert_eq!(
         (ends(&effects), freed(&effects).len()),
-        (vec![End::There], 0)
+        (vec![MoveOutcome::Moved], 0)
     );
     let whole = true;
     let timing = Default::default();
@@ -255,7 +255,7 @@
     assert_eq!(moved, [800, 7000, 8000, 9000]);
     let effects = scene.world.step(Event::Tick);
     assert!(calls(&effects).is_empty(), "four moves are in progress");
-    let effects = scene.answer(&first[0], Moved::Absent);
+    let effects = scene.answer(&first[0], Handover::Absent);
     assert_eq!(
         calls(&effects).len(),
         1,
@@ -270,13 +270,13 @@
     let mut scene = Scene::new(&config(false, true), &[4000], &others);
     let mut call = calls(&scene.leave(3000)).remove(0);
     for _ in 0..2 {
-        let effects = scene.answer(&call, Moved::Refused);
-        assert_eq!(ends(&effects), [End::Refused]);
+        let effects = scene.answer(&call, Handover::Refused);
+        assert_eq!(ends(&effects), [MoveOutcome::Refused]);
         let next = calls(&effects).remove(0);
         assert!(!next.last && next.to != call.to && sends(&effects).is_empty());
         call = next;
     }
-    let effects = scene.answer(&call, Moved::Lost);
+    let effects = scene.answer(&call, Handover::Lost);
     assert!(
         calls(&effects).is_empty(),
         "the move is not retried without end"
@@ -291,7 +291,7 @@
 fn a_stopped_run_goes_back_to_its_memory() {
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
-    let back = scene.answer(&last, Moved::Kept(Handle("h3".to_owned())));
+    let back = scene.answer(&last, Handover::Kept(Handle("h3".to_owned())));
     let back = sends(&back).remove(0);
     let handle = back.continues.clone().expect("the same run").handle;
     assert_eq!((target(&back), handle.0.as_str()), ("a", "h3"));
@@ -299,7 +299,7 @@
         request, attempt, ..
     } = back;
     let effects = scene.world.step(Event::Begun { request, attempt });
-    assert_eq!(ends(&effects), [End::Back]);
+    assert_eq!(ends(&effects), [MoveOutcome::Returned]);
 }
 
 /// A leaving server accepts no new requests from a short time after its announcement.
@@ -308,7 +308,7 @@
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     scene.world.pass(2000);
-    let continued = sends(&scene.answer(&last, Moved::Kept(Handle("h3".to_owned()))));
+    let continued = sends(&scene.answer(&last, Handover::Kept(Handle("h3".to_owned()))));
     assert_eq!(target(&continued[0]), "b", "the first copy is there");
 }
 
@@ -317,12 +317,12 @@
 fn a_lost_answer_sends_the_run_nowhere() {
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
-    let mut effects = scene.answer(&last, Moved::Lost);
+    let mut effects = scene.answer(&last, Handover::Lost);
     effects.extend(scene.broke());
     effects.extend(scene.world.step(Event::Tick));
     let again = calls(&effects).remove(0);
     assert!(again.last && sends(&effects).is_empty());
-    let mut effects = scene.answer(&again, Moved::Lost);
+    let mut effects = scene.answer(&again, Handover::Lost);
     effects.extend(scene.world.step(Event::Tick));
     assert!(sends(&effects).is_empty() && calls(&effects).is_empty());
     assert_eq!((freed(&effects), replies(&effects).len()), (vec!["h1"], 1));
@@ -333,7 +333,7 @@
 fn the_second_answer_is_as_good_as_the_first() {
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
-    scene.answer(&last, Moved::Lost);
+    scene.answer(&last, Handover::Lost);
     let again = calls(&scene.world.step(Event::Tick)).remove(0);
     assert!(
         scene.broke().is_empty(),
@@ -366,7 +366,7 @@
     assert!(sends(&effects).is_empty());
     assert_eq!(
         (ends(&effects), replies(&effects).len()),
-        (vec![End::Lost], 1)
+        (vec![MoveOutcome::Lost], 1)
     );
 }
 
@@ -377,7 +377,7 @@
     let effects = scene.broke();
     assert_eq!(
         (ends(&effects), replies(&effects).len()),
-        (vec![End::Refused], 1)
+        (vec![MoveOutcome::Refused], 1)
     );
     assert_eq!(
         freed(&scene.answer(&first, copied("h1"))),
@@ -390,7 +390,7 @@
 fn a_caller_that_leaves_frees_both_ends() {
     let gone = |scene: &mut Scene| {
         let request = scene.streams[0].request;
-        scene.world.step(Event::Gone(request))
+        scene.world.step(Event::Disconnected(request))
     };
     let mut scene = Scene::with_one_stream();
     let first = calls(&scene.leave(3000)).remove(0);
@@ -425,18 +425,18 @@
     } = scene.streams[0];
     let closed = Event::Closed { request, attempt };
     assert!(scene.world.step(closed.clone()).is_empty());
-    let effects = scene.answer(&last, Moved::Absent);
-    assert!(effects.contains(&Effect::Close { request, attempt }));
-    assert_eq!(ends(&effects), [End::Ended]);
+    let effects = scene.answer(&last, Handover::Absent);
+    assert!(effects.contains(&Effect::CompleteStream { request, attempt }));
+    assert_eq!(ends(&effects), [MoveOutcome::Ended]);
 
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
     assert!(
-        scene.answer(&last, Moved::Absent).is_empty(),
+        scene.answer(&last, Handover::Absent).is_empty(),
         "its end is still to arrive"
     );
     let effects = scene.world.step(closed.clone());
-    assert!(effects.contains(&Effect::Close { request, attempt }));
+    assert!(effects.contains(&Effect::CompleteStream { request, attempt }));
 
     let mut scene = Scene::with_one_stream();
     let last = scene.stopping();
@@ -489,7 +489,7 @@
         (
             200,
             r#"{"handle":"17","created":7}"#,
-            Moved::Copied {
+            Handover::Copied {
                 handle: handle(),
                 events: 7,
             },
@@ -497,23 +497,23 @@
         (
             200,
             r#"{"handle":17,"created":7}"#,
-            Moved::Copied {
+            Handover::Copied {
                 handle: handle(),
                 events: 7,
             },
         ),
-        (200, "{}", Moved::Lost),
-        (200, "<html>", Moved::Lost),
-        (503, r#"{"handle":"17"}"#, Moved::Kept(handle())),
-        (503, "", Moved::Refused),
-        (404, "", Moved::Absent),
-        (409, "{}", Moved::Busy),
-        (500, r#"{"handle":"17"}"#, Moved::Lost),
+        (200, "{}", Handover::Lost),
+        (200, "<html>", Handover::Lost),
+        (503, r#"{"handle":"17"}"#, Handover::Kept(handle())),
+        (503, "", Handover::Refused),
+        (404, "", Handover::Absent),
+        (409, "{}", Handover::Busy),
+        (500, r#"{"handle":"17"}"#, Handover::Lost),
     ];
     for (status, content, expected) in cases {
         let status = StatusCode::from_u16(status).expect("a status");
         assert_eq!(
-            moved(status, content.as_bytes()),
+            parse_move_answer(status, content.as_bytes()),
             expected,
             "{status} {content}"
         );
--- a/tests/registry_fuzz.rs
+++ b/tests/registry_fuzz.rs
@@ -13,17 +13,17 @@
     config::Backend,
     fleet::Change,
     id::{self, Domain, Incarnation},
-    limit::{PROBE, Word},
+    limit::{Announcement, PROBE_RATE},
     platform::record,
     policy::Balanced,
     reducer::{
         Identity, State,
         effect::{Effect, Send, Target},
-        event::{Arrival, Cause, Credential, Event, Hop, Key, Sign, Source},
+        event::{Activity, Arrival, Cause, Credential, Event, Hop, Key, Source},
     },
     unit::{Millis, Rate, Time},
     verdict::Verdict,
-    wire::Short,
+    wire::NameHash,
 };
 
 const CONFIG: &str = r#"{"version":1,"routes":[
@@ -44,13 +44,13 @@
 const MAX_COLD_PER_SECOND: usize = 15;
 
 /// Limits in the answers of backend servers.
-const LIMIT_HEADERS: [Word; 6] = [
-    Word::Silent,
-    Word::Unreadable,
-    Word::Most(Rate(0.0)),
-    Word::Most(Rate(0.5)),
-    Word::Most(Rate(2.0)),
-    Word::Most(Rate(20.0)),
+const LIMIT_HEADERS: [Announcement; 6] = [
+    Announcement::Absent,
+    Announcement::Unreadable,
+    Announcement::Rate(Rate(0.0)),
+    Announcement::Rate(Rate(0.5)),
+    Announcement::Rate(Rate(2.0)),
+    Announcement::Rate(Rate(20.0)),
 ];
 
 /// A limit that a backend server named, and the requests that it received since.
@@ -65,7 +65,7 @@
     /// Returns the number of requests that one box may have sent since then: the rate, plus one
     /// second of it and one request saved up.
     fn max_requests(&self, now: Time) -> usize {
-        let rate = self.rate.0.max(PROBE.0);
+        let rate = self.rate.0.max(PROBE_RATE.0);
         let seconds = now.since(self.since).0 as f64 / 1000.0;
         (rate * (seconds + 1.0)) as usize + 1
     }
@@ -103,7 +103,7 @@
         if leaving { "draining" } else { "ready" }
     );
     let name = name.parse().expect("a name");
-    record::server(&name, entry.as_bytes(), &places()).expect("the record parses")
+    record::parse_server(&name, entry.as_bytes(), &places()).expect("the record parses")
 }
 
 impl World {
@@ -134,13 +134,14 @@
             limited: HashMap::new(),
         };
         let envelope = record::envelope(CONFIG.into()).expect("the record parses");
-        let config = Arc::new(record::config(&envelope, &places()).expect("the record parses"));
+        let config =
+            Arc::new(record::parse_config(&envelope, &places()).expect("the record parses"));
         let source = Source::Store;
         world.step(Event::Offered { config, source });
         let all = (0..SERVERS).map(|index| backend(&world.name(index), false, 0, 1));
         let list = Change::List {
             backends: all.collect(),
-            doubt: Millis(0),
+            grace: Millis(0),
         };
         world.step(news(list));
         world
@@ -169,7 +170,7 @@
                 tracked.may_have_run = true;
                 tracked.runs += 1;
             }
-            Effect::Leave { request, attempt } => {
+            Effect::DetachStream { request, attempt } => {
                 let tracked = self
                     .requests
                     .get_mut(&request)
@@ -313,7 +314,9 @@
                 self.step(Event::Begun { request, attempt });
                 return;
             }
-            (true, 0) if PATHS[tracked.path] == "/stream/x" => Event::Broke { request, attempt },
+            (true, 0) if PATHS[tracked.path] == "/stream/x" => {
+                Event::StreamCut { request, attempt }
+            }
             (true, kind) => {
                 tracked.finished = true;
                 let whole = kind % 2 == 0;
@@ -353,7 +356,7 @@
                 self.leaving.insert(name.clone());
                 let name = name.parse().expect("a name");
                 let doubt = Millis(0);
-                self.step(news(Change::Gone { name, doubt }));
+                self.step(news(Change::Removed { name, grace: doubt }));
             }
             2 => {
                 // The box cannot learn that the old server ended before it is notified.
@@ -369,7 +372,7 @@
                     self.leaving.insert(name.clone());
                     let name = name.parse().expect("a name");
                     let doubt = Millis(0);
-                    self.step(news(Change::Gone { name, doubt }));
+                    self.step(news(Change::Removed { name, grace: doubt }));
                 }
             }
             5 => {
@@ -432,12 +435,12 @@
     /// Reports activity on the streams of some servers.
     fn report_activity(&mut self, which: u8, pause: u8) {
         let alive = (0..SERVERS).filter(|index| which & (1 << index) != 0);
-        let sign = |index| Sign {
-            backend: Short::of(&self.name(index)),
+        let sign = |index| Activity {
+            backend: NameHash::of(&self.name(index)),
             pause: Millis(u64::from(pause)),
         };
         let signs = alive.map(sign).collect();
-        self.step(Event::Alive(signs));
+        self.step(Event::StreamsActive(signs));
     }
 
     fn pass(&mut self, ticks: u8) {
@@ -461,7 +464,7 @@
                         .get_mut(&request)
                         .expect("the request is tracked");
                     tracked.finished = true;
-                    self.step(Event::Gone(request));
+                    self.step(Event::Disconnected(request));
                 }
             }
         }
--- a/tests/silent_boxes.rs
+++ b/tests/silent_boxes.rs
@@ -146,7 +146,7 @@
         name: contact(5).name,
         incarnation: Incarnation(7),
         since: Millis(1600),
-        asker: Some(prober),
+        prober: Some(prober),
     };
     let frame = Frame {
         from: contact(7).name,
@@ -154,7 +154,7 @@
         seq: 1 << 40,
         body: Body::Silent(silent),
     };
-    let effects = crowd.step(5, Event::Heard(frame));
+    let effects = crowd.step(5, Event::Received(frame));
     let recipients: Vec<SocketAddr> = effects
         .iter()
         .filter_map(|effect| match effect {
--- a/tests/turned_away.rs
+++ b/tests/turned_away.rs
@@ -22,7 +22,7 @@
     solo::news,
 };
 use petreldrum::{
-    config::Draft,
+    config::Builder,
     fleet::{Change, Revision, Roster},
     reducer::{effect::Effect, event::Event},
     unit::Millis,
@@ -109,7 +109,7 @@
     cloud.register("i-1", address, "atl", "ready");
     cloud.registry.remove("servers/i-3");
     store.set_fault(Fault::None);
-    sleep(BY_PEERS + petreldrum::fleet::DOUBT.duration()).await;
+    sleep(BY_PEERS + petreldrum::fleet::OUTAGE_GRACE.duration()).await;
     assert_eq!(serving_backends(&cloud.boxes[1]).await, ["i-1"]);
 }
 
@@ -138,7 +138,7 @@
 fn learn_first_revision(crowd: &mut Crowd, number: usize) {
     let list = Change::List {
         backends: vec![],
-        doubt: Millis(0),
+        grace: Millis(0),
     };
     crowd.step(number, news(list));
     crowd.step(number, Event::Synced(Revision::first(1)));
@@ -146,7 +146,7 @@
 
 /// Returns two boxes that know the store up to its first revision.
 fn pair() -> Crowd {
-    let config = std::sync::Arc::new(Draft::default().finish());
+    let config = std::sync::Arc::new(Builder::default().build());
     let mut pair = Crowd::on_platform(2, config);
     (0..2).for_each(|number| learn_first_revision(&mut pair, number));
     pair.pass(3000);
@@ -157,7 +157,7 @@
 /// sent to another region. Boxes start `start_interval` ms apart, and the revision comes `phase` ms
 /// after they have settled.
 fn propagation_lag(start_interval: u64, phase: u64) -> Millis {
-    let config = std::sync::Arc::new(Draft::default().finish());
+    let config = std::sync::Arc::new(Builder::default().build());
     let mut crowd = Crowd::across_regions(6, config);
     for number in 0..6 {
         crowd.pass(start_interval);
--- a/tests/unequal_boxes.rs
+++ b/tests/unequal_boxes.rs
@@ -12,10 +12,10 @@
     solo::{BASE, Solo, caller, server},
 };
 use petreldrum::{
-    config::{Draft, Version},
+    config::{Builder, Version},
     fleet::Revision,
     id::{self, Incarnation},
-    member::{HEARTBEAT, Table},
+    member::{MIN_HEARTBEAT_PERIOD, Table},
     reducer::{effect::Effect, event::Event},
     size::{Room, Weight},
     unit::{Millis, Time},
@@ -47,11 +47,11 @@
 }
 
 fn set_weight(crowd: &mut Crowd, number: usize, weight: u16) {
-    crowd.step(number, Event::Sized(Weight::new(weight)));
+    crowd.step(number, Event::WeightChanged(Weight::new(weight)));
 }
 
 fn crowd(weight: impl Fn(usize) -> u16) -> Crowd {
-    let mut crowd = Crowd::in_one_region(BOXES, Draft::default().finish().into());
+    let mut crowd = Crowd::in_one_region(BOXES, Builder::default().build().into());
     for number in 0..BOXES {
         set_weight(&mut crowd, number, weight(number));
     }
@@ -107,8 +107,8 @@
 
 #[test]
 fn equal_sizes_change_nothing() {
-    let mut silent = Crowd::in_three_regions(60, Draft::default().finish().into());
-    let mut equal = Crowd::in_three_regions(60, Draft::default().finish().into());
+    let mut silent = Crowd::in_three_regions(60, Builder::default().build().into());
+    let mut equal = Crowd::in_three_regions(60, Builder::default().build().into());
     for number in 0..60 {
         set_weight(&mut equal, number, SMALL);
     }
@@ -202,7 +202,9 @@
             };
             let number = crowd.by_gossip(to).expect("the recipient is a box");
             match &frame.body {
-                Body::Heartbeat(heartbeat) if heartbeat.pace == HEARTBEAT => heard[number] += 1.0,
+                Body::Heartbeat(heartbeat) if heartbeat.pace == MIN_HEARTBEAT_PERIOD => {
+                    heard[number] += 1.0
+                }
                 Body::Tally(_) => tallies[number] += 1.0,
                 _ => {}
             }
@@ -234,7 +236,7 @@
         version: Version(1),
         revision: Revision::first(0),
         phase: Phase::Ready,
-        pace: HEARTBEAT,
+        pace: MIN_HEARTBEAT_PERIOD,
         boxes: BOXES as u32 - 1,
         busy,
         loads: vec![],
@@ -260,7 +262,7 @@
     let mut table = Table::new(heartbeat(number, 0, room(0)).contact, Incarnation(1));
     table.room = room(weight(number));
     for other in (0..BOXES).filter(|n| *n != number) {
-        table.heartbeat(
+        table.apply_heartbeat(
             Incarnation(1),
             heartbeat(other, 0, room(weight(other))),
             Time(0),
@@ -302,7 +304,7 @@
 fn shares_go_by_count() {
     let standing = |weight: &dyn Fn(usize) -> u16| {
         let table = table(0, weight);
-        table.standing("service", |_| Millis(0), Time(0))
+        table.rank_among_active("service", |_| Millis(0), Time(0))
     };
     assert_eq!(standing(&mixed), standing(&|_| 0));
 }
@@ -362,7 +364,7 @@
             seq,
             body: Body::Heartbeat(heartbeat(number, busy, announced)),
         };
-        solo.step(Event::Heard(frame));
+        solo.step(Event::Received(frame));
     }
 }
 
@@ -399,7 +401,7 @@
         server("s1", "perth", 60)
     );
     let mut solo = Solo::new(&text);
-    solo.step(Event::Sized(Weight::new(SMALL)));
+    solo.step(Event::WeightChanged(Weight::new(SMALL)));
     hear_large_boxes(&mut solo, 1, 20, false);
     solo
 }
@@ -450,7 +452,7 @@
 
 #[test]
 fn doors_are_those_with_room() {
-    let mut crowd = Crowd::in_three_regions(78, Draft::default().finish().into());
+    let mut crowd = Crowd::in_three_regions(78, Builder::default().build().into());
     let weight = |n: usize| mixed(n / 3);
     for number in 0..78 {
         set_weight(&mut crowd, number, weight(number));
@@ -460,7 +462,10 @@
     for _ in 0..30 {
         crowd.pass(100);
         for (_, frame) in &crowd.mail {
-            if let Body::Digest(Digest { doors, .. }) = &frame.body {
+            if let Body::Digest(Digest {
+                endpoints: doors, ..
+            }) = &frame.body
+            {
                 let numbers = doors
                     .iter()
                     .filter_map(|d| crowd.by_gossip(d.contact.gossip));
